--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -67,7 +67,7 @@
         let mut host = Host { gateway, now, next: 0, timers: BinaryHeap::new(), out: vec![] };
         let entry = |k: u64| Entry {
             server: ServerId(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            state: State::Ready,
+            state: ServerState::Ready,
             ready_at: 0,
             size: 1.0,
             zone: (k % 3) as u32,
--- a/crates/gateway/src/fleet_rules/mod.rs
+++ b/crates/gateway/src/fleet_rules/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::clock::{Clock, Micros};
 use crate::upstream::RulesAccess;
-use frostgauge::{Entry, State};
+use frostgauge::{Entry, ServerState};
 use frostgauge_consensus::Timing;
 use frostgauge_fleet_agent::task::TaskHandle;
 use frostgauge_fleet_agent::{AttemptGuard, CanaryObserver};
@@ -45,7 +45,7 @@
         for node in &loaded.nodes {
             let mut entry = node.entry.clone();
             if !open.contains(&node.address) {
-                entry.state = State::Draining;
+                entry.state = ServerState::Draining;
             }
             entries.push((node.address, entry));
         }
@@ -54,7 +54,7 @@
             let zone = zones.get(address).and_then(|z| loaded.file.zones.iter().position(|k| k == z));
             let entry = Entry {
                 server: server_id(*address),
-                state: State::Ready,
+                state: ServerState::Ready,
                 ready_at: 0,
                 size: 1.0,
                 zone: zone.unwrap_or(0) as u32,
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -74,7 +74,7 @@
     pub fn list(&mut self, now: Micros, entries: &[frostgauge::Entry]) {
         self.places = entries.iter().map(|e| (e.server, e.zone)).collect();
         let Some(zones) = &mut self.zones else { return };
-        let ready = |e: &frostgauge::Entry| e.state == frostgauge::State::Ready;
+        let ready = |e: &frostgauge::Entry| e.state == frostgauge::ServerState::Ready;
         let nodes: Vec<Node> = entries
             .iter()
             .map(|e| Node { id: e.server.0, zone: e.zone, ready: ready(e), started: e.ready_at })
--- a/crates/platform-gateway/src/server_table.rs
+++ b/crates/platform-gateway/src/server_table.rs
@@ -1,6 +1,6 @@
 //! The servers that discovery listed, and their addresses.
 
-use frostgauge::{ListKind, ServerId, State};
+use frostgauge::{ListKind, ServerId, ServerState};
 use frostgauge_platform_protocol::settings::Site;
 use frostgauge_platform_protocol::targets::Target;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
         }
         let mut forget = Vec::new();
         for target in targets {
-            let (server, gone) = (target.server(), target.entry(site).state == State::Gone);
+            let (server, gone) = (target.server(), target.entry(site).state == ServerState::Removed);
             let Some(address) = target.address.filter(|_| !gone) else {
                 self.servers.entry(server).and_modify(|known| known.listed = false);
                 continue;
--- a/crates/platform-protocol/src/targets.rs
+++ b/crates/platform-protocol/src/targets.rs
@@ -1,7 +1,7 @@
 //! The list of servers in discovery's format.
 
 use crate::settings::Site;
-use frostgauge::{Entry, ServerId, State};
+use frostgauge::{Entry, ServerId, ServerState};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -97,9 +97,9 @@
         Entry {
             server: self.server(),
             state: match (self.lifecycle, self.address) {
-                (Lifecycle::Up, Some(_)) => State::Ready,
-                (Lifecycle::Draining, Some(_)) => State::Draining,
-                _ => State::Gone,
+                (Lifecycle::Up, Some(_)) => ServerState::Ready,
+                (Lifecycle::Draining, Some(_)) => ServerState::Draining,
+                _ => ServerState::Removed,
             },
             ready_at: self.started_ms.saturating_mul(1_000),
             size: self.weight,
--- a/crates/platform-protocol/tests/values.rs
+++ b/crates/platform-protocol/tests/values.rs
@@ -1,6 +1,6 @@
 //! The platform's values: lists, answers, requests from whatever bytes come.
 
-use frostgauge::{Effect, State, Status};
+use frostgauge::{Effect, ServerState, Status};
 use frostgauge_platform_protocol::settings::{self, Column, Site};
 use frostgauge_platform_protocol::targets::{self, List};
 use frostgauge_platform_protocol::{answer, request};
@@ -82,13 +82,13 @@
       {"instanceId":"s-3","lifecycle":"removed"}]}"#;
     let list = List::read(text.as_bytes()).expect("a list");
     let entries: Vec<_> = list.instances.iter().map(|t| t.entry(&site())).collect();
-    assert_eq!(entries[0].state, State::Ready);
+    assert_eq!(entries[0].state, ServerState::Ready);
     assert_eq!(
         (entries[0].ready_at, entries[0].zone, entries[0].cell, entries[0].size),
         (6_100_000, 1, 3, 1.5)
     );
-    assert_eq!((entries[1].state, entries[1].zone), (State::Draining, u32::MAX));
-    assert_eq!(entries[2].state, State::Gone);
+    assert_eq!((entries[1].state, entries[1].zone), (ServerState::Draining, u32::MAX));
+    assert_eq!(entries[2].state, ServerState::Removed);
     let moved = List::read(text.replace("10.1.0.18", "10.9.0.18").as_bytes()).expect("a list");
     assert_eq!(moved.instances[0].server(), list.instances[0].server());
     assert_ne!(list.instances[0].server(), list.instances[1].server());
--- a/crates/settings/src/resolve.rs
+++ b/crates/settings/src/resolve.rs
@@ -4,7 +4,7 @@
 use crate::{
     check, customer_id, server_id, Effect, Faults, File, Loaded, Node, NodeState, Route, Secret, Tenant,
 };
-use frostgauge::{Entry, State};
+use frostgauge::{Entry, ServerState};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -66,8 +66,8 @@
         entry: Entry {
             server: server_id(n.address),
             state: match n.state {
-                NodeState::Ready => State::Ready,
-                NodeState::Draining => State::Draining,
+                NodeState::Ready => ServerState::Ready,
+                NodeState::Draining => ServerState::Draining,
             },
             ready_at: n.started_ms * MS,
             size: n.size,
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -4,7 +4,7 @@
 use crate::fields::Fields;
 use crate::instance::{hash, Instance};
 use base64::{prelude::BASE64_STANDARD, Engine};
-use frostgauge::{CounterId, CustomerId, Entry, Event, ListKind, Load, ServerId, State, Status, TimerId};
+use frostgauge::{CounterId, CustomerId, Entry, Event, ListKind, Load, ServerId, ServerState, Status, TimerId};
 use serde_json::Value;
 
 /// Bit of a request's flags: the client marked it as a retry.
@@ -49,9 +49,9 @@
     Ok(Entry {
         cell: row.whole(0, "pod")? as u32,
         state: match row.whole(1, "readiness")? {
-            0 => State::Gone,
-            1 => State::Ready,
-            2 => State::Draining,
+            0 => ServerState::Removed,
+            1 => ServerState::Ready,
+            2 => ServerState::Draining,
             _ => return Err(FieldError("readiness")),
         },
         ready_at: row.whole(2, "readyAtUs")?,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -6,7 +6,7 @@
 use crate::server::{Job, Make, Node};
 use crate::settings::{settings, zone_of};
 use crate::Micros;
-use frostgauge::{Entry, ServerId, State, Status};
+use frostgauge::{Entry, ServerId, ServerState, Status};
 use frostgauge_gateway::core::{Command, Core, Input};
 use frostgauge_identity::{Answer, Grant};
 use frostgauge_settings::Loaded;
@@ -202,7 +202,7 @@
 
     pub(crate) fn entries(&self) -> Vec<Entry> {
         let entry = |(k, n): (usize, &frostgauge_settings::Node)| Entry {
-            state: if self.nodes[k].alive { State::Ready } else { State::Gone },
+            state: if self.nodes[k].alive { ServerState::Ready } else { ServerState::Removed },
             ready_at: self.nodes[k].started,
             ..n.entry.clone()
         };
@@ -254,7 +254,7 @@
                     gateway.listed = version;
                     gateway.starts = entries.iter().map(|e| e.ready_at).collect();
                     let there: Vec<Entry> =
-                        entries.iter().filter(|e| e.state != State::Gone).cloned().collect();
+                        entries.iter().filter(|e| e.state != ServerState::Removed).cloned().collect();
                     gateway.core.servers(self.now, there, &mut out);
                     self.settle(k, out);
                 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -192,14 +192,14 @@
 
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// Accepts requests.
     Ready,
     /// Finishes the requests it holds, accepts no new ones.
     Draining,
     /// Removed.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One entry of the list of servers.
@@ -208,7 +208,7 @@
     /// The server.
     pub server: ServerId,
     /// Its state.
-    pub state: State,
+    pub state: ServerState,
     /// When it last became ready, µs; 0 means long ago.
     pub ready_at: Micros,
     /// Its size relative to other servers'.
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -129,7 +129,7 @@
     /// Whether ejected servers are to be avoided.
     pub fn is_trusted(&self, now: Micros, servers: &Servers) -> bool {
         let known = self.ejected.iter().filter_map(|id| servers.get(*id));
-        let is_out = |server: &&Server| server.health.is_ejected(now) && server.entry.state == State::Ready;
+        let is_out = |server: &&Server| server.health.is_ejected(now) && server.entry.state == ServerState::Ready;
         let ejected = known.filter(is_out).count() as f64;
         ejected <= MAX_EJECTED_SHARE * servers.ready().len() as f64
     }
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -63,14 +63,14 @@
         if kind != ListKind::Delta {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, server) in self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                server.entry.state = State::Gone;
+                server.entry.state = ServerState::Removed;
             }
         }
         for entry in entries {
             self.update_entry(now, entry, random);
         }
-        self.by_id.retain(|_, server| server.entry.state != State::Gone || server.load.in_flight() > 0);
-        let ready = self.by_id.iter().filter(|(_, server)| server.entry.state == State::Ready);
+        self.by_id.retain(|_, server| server.entry.state != ServerState::Removed || server.load.in_flight() > 0);
+        let ready = self.by_id.iter().filter(|(_, server)| server.entry.state == ServerState::Ready);
         self.ready = ready.map(|(id, _)| *id).collect();
         self.maybe_warming_up.clone_from(&self.ready);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -60,7 +60,7 @@
 }
 
 pub fn entry(server: u64, zone: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
+    Entry { server: ServerId(server), state: ServerState::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
 }
 
 /// A gateway with its clock, its pending timers and what it did last.
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -13,7 +13,7 @@
     Arrive { class: usize, customer: u64, patience: u64 },
     End { pick: usize, status: Status },
     Leave { pick: usize },
-    List { server: u64, state: State },
+    List { server: u64, state: ServerState },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -26,7 +26,7 @@
         Status::Reset,
         Status::Timeout,
     ]);
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    let state = prop::sample::select(vec![ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Removed]);
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
@@ -190,7 +190,7 @@
             }
             Step::List { server, state } => {
                 let e = Entry { state, ..entry(server, (server % 2) as u32) };
-                w.ready.insert(e.server, state == State::Ready);
+                w.ready.insert(e.server, state == ServerState::Ready);
                 w.event(Event::Servers { kind: ListKind::Delta, entries: vec![e] });
             }
         }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -200,7 +200,7 @@
                 *g = fresh(me, 2 + step);
             }
             let list = |(server, at): &(u64, Micros)| {
-                let state = if now < at + S || *server == 22 { State::Ready } else { State::Gone };
+                let state = if now < at + S || *server == 22 { ServerState::Ready } else { ServerState::Removed };
                 Entry { ready_at: *at, state, ..entry(*server, 0) }
             };
             let entries = starts.iter().filter(|(_, at)| now >= *at).map(list).collect();
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -4,13 +4,13 @@
 use common::*;
 use frostgauge::*;
 
-fn delta(entry: Entry, state: State) -> Event {
+fn delta(entry: Entry, state: ServerState) -> Event {
     Event::Servers { kind: ListKind::Delta, entries: vec![Entry { state, ..entry }] }
 }
 
 #[test]
 fn a_draining_or_gone_server_gets_nothing_new() {
-    for state in [State::Draining, State::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0)]);
         rig.event(delta(entry(1, 0), state));
         for customer in 0..8 {
@@ -44,7 +44,7 @@
     for k in 0..3 * offered {
         rig.run_to(S + k * 1_500 * MS / offered);
         if k == 2 * offered {
-            rig.event(delta(Entry { ready_at: rig.now, ..entry(2, 0) }, State::Ready));
+            rig.event(delta(Entry { ready_at: rig.now, ..entry(2, 0) }, ServerState::Ready));
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
         let Some(server) = sent(&actions) else { continue };
