--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -65,7 +65,7 @@
         let now = 1_000_000_000;
         let gateway = Gateway::new(settings(), 3, now).expect("sound settings");
         let mut host = Host { gateway, now, next: 0, timers: BinaryHeap::new(), out: vec![] };
-        let entry = |k: u64| Entry {
+        let entry = |k: u64| ServerEntry {
             server: ServerId(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             state: ServerState::Ready,
             ready_at: 0,
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -12,7 +12,7 @@
 use crate::reply::{Failed, GatewayAnswer};
 use crate::timers::Timers;
 use crate::zone_gate::ZoneGate;
-use frostgauge::{Action, Entry, Event, Gateway, ListKind, RejectReason, RequestId, ServerId, Status};
+use frostgauge::{Action, ServerEntry, Event, Gateway, ListKind, RejectReason, RequestId, ServerId, Status};
 use frostgauge_identity::{Grant, Identity, Outcome, Step, TokenName};
 use frostgauge_proto::bearer::Denied;
 use frostgauge_settings::{Loaded, Tenant};
@@ -178,7 +178,7 @@
     }
 
     /// Replaces the endpoint list.
-    pub fn servers(&mut self, now: Micros, entries: Vec<Entry>, out: &mut Vec<Command>) {
+    pub fn servers(&mut self, now: Micros, entries: Vec<ServerEntry>, out: &mut Vec<Command>) {
         self.library.gate.list(now, &entries);
         self.decide(now, Event::Servers { kind: ListKind::Full, entries }, out);
         self.report_zone_changes(out);
@@ -189,7 +189,7 @@
         &mut self,
         now: Micros,
         kind: ListKind,
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
         out: &mut Vec<Command>,
     ) {
         self.decide(now, Event::Servers { kind, entries }, out);
--- a/crates/gateway/src/fleet_rules/mod.rs
+++ b/crates/gateway/src/fleet_rules/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::clock::{Clock, Micros};
 use crate::upstream::RulesAccess;
-use frostgauge::{Entry, ServerState};
+use frostgauge::{ServerEntry, ServerState};
 use frostgauge_consensus::Timing;
 use frostgauge_fleet_agent::task::TaskHandle;
 use frostgauge_fleet_agent::{AttemptGuard, CanaryObserver};
@@ -39,9 +39,9 @@
 
     /// The servers as the decisions are to see them: those that the rules and, without a lease, their own reports allow
     /// new work are ready; others of the settings get nothing new.
-    pub fn entries(&self, loaded: &Loaded) -> Vec<(SocketAddr, Entry)> {
+    pub fn entries(&self, loaded: &Loaded) -> Vec<(SocketAddr, ServerEntry)> {
         let (open, zones) = self.eligible_nodes();
-        let mut entries: Vec<(SocketAddr, Entry)> = vec![];
+        let mut entries: Vec<(SocketAddr, ServerEntry)> = vec![];
         for node in &loaded.nodes {
             let mut entry = node.entry.clone();
             if !open.contains(&node.address) {
@@ -52,7 +52,7 @@
         let named: BTreeSet<SocketAddr> = loaded.nodes.iter().map(|n| n.address).collect();
         for address in open.difference(&named) {
             let zone = zones.get(address).and_then(|z| loaded.file.zones.iter().position(|k| k == z));
-            let entry = Entry {
+            let entry = ServerEntry {
                 server: server_id(*address),
                 state: ServerState::Ready,
                 ready_at: 0,
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -71,10 +71,10 @@
     }
 
     /// Takes the whole list.
-    pub fn list(&mut self, now: Micros, entries: &[frostgauge::Entry]) {
+    pub fn list(&mut self, now: Micros, entries: &[frostgauge::ServerEntry]) {
         self.places = entries.iter().map(|e| (e.server, e.zone)).collect();
         let Some(zones) = &mut self.zones else { return };
-        let ready = |e: &frostgauge::Entry| e.state == frostgauge::ServerState::Ready;
+        let ready = |e: &frostgauge::ServerEntry| e.state == frostgauge::ServerState::Ready;
         let nodes: Vec<Node> = entries
             .iter()
             .map(|e| Node { id: e.server.0, zone: e.zone, ready: ready(e), started: e.ready_at })
--- a/crates/platform-protocol/src/targets.rs
+++ b/crates/platform-protocol/src/targets.rs
@@ -1,7 +1,7 @@
 //! The list of servers in discovery's format.
 
 use crate::settings::Site;
-use frostgauge::{Entry, ServerId, ServerState};
+use frostgauge::{ServerEntry, ServerId, ServerState};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -92,9 +92,9 @@
     }
 
     /// Its entry for the decision library. A server without an address counts as gone.
-    pub fn entry(&self, site: &Site) -> Entry {
+    pub fn entry(&self, site: &Site) -> ServerEntry {
         let zone = site.zones.iter().position(|z| *z == self.zone);
-        Entry {
+        ServerEntry {
             server: self.server(),
             state: match (self.lifecycle, self.address) {
                 (Lifecycle::Up, Some(_)) => ServerState::Ready,
--- a/crates/settings/src/loaded.rs
+++ b/crates/settings/src/loaded.rs
@@ -1,7 +1,7 @@
 //! Checked settings, with names resolved to the numbers that the decisions use.
 
 use crate::{check, Fault, File, Introspection, Limits, Route, Routed, Secret};
-use frostgauge::{CustomerId, Entry};
+use frostgauge::{CustomerId, ServerEntry};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Its entry, with `ready_at` in microseconds since 1970.
-    pub entry: Entry,
+    pub entry: ServerEntry,
 }
 
 /// Settings, ready for use.
@@ -99,7 +99,7 @@
     }
 
     /// The node list as the decisions take it.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<ServerEntry> {
         self.nodes.iter().map(|n| n.entry.clone()).collect()
     }
 
--- a/crates/settings/src/resolve.rs
+++ b/crates/settings/src/resolve.rs
@@ -4,7 +4,7 @@
 use crate::{
     check, customer_id, server_id, Effect, Faults, File, Loaded, Node, NodeState, Route, Secret, Tenant,
 };
-use frostgauge::{Entry, ServerState};
+use frostgauge::{ServerEntry, ServerState};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -63,7 +63,7 @@
     });
     let nodes = file.nodes.iter().map(|n| Node {
         address: n.address,
-        entry: Entry {
+        entry: ServerEntry {
             server: server_id(n.address),
             state: match n.state {
                 NodeState::Ready => ServerState::Ready,
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -4,7 +4,7 @@
 use crate::fields::Fields;
 use crate::instance::{hash, Instance};
 use base64::{prelude::BASE64_STANDARD, Engine};
-use frostgauge::{CounterId, CustomerId, Entry, Event, ListKind, Load, ServerId, ServerState, Status, TimerId};
+use frostgauge::{CounterId, CustomerId, ServerEntry, Event, ListKind, Load, ServerId, ServerState, Status, TimerId};
 use serde_json::Value;
 
 /// Bit of a request's flags: the client marked it as a retry.
@@ -44,9 +44,9 @@
     Ok(Event::Servers { kind, entries })
 }
 
-fn entry(instance: &mut Instance, row: &Value) -> Result<Entry, FieldError> {
+fn entry(instance: &mut Instance, row: &Value) -> Result<ServerEntry, FieldError> {
     let row = Fields(row.as_array().ok_or(FieldError("records"))?);
-    Ok(Entry {
+    Ok(ServerEntry {
         cell: row.whole(0, "pod")? as u32,
         state: match row.whole(1, "readiness")? {
             0 => ServerState::Removed,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -6,7 +6,7 @@
 use crate::server::{Job, Make, Node};
 use crate::settings::{settings, zone_of};
 use crate::Micros;
-use frostgauge::{Entry, ServerId, ServerState, Status};
+use frostgauge::{ServerEntry, ServerId, ServerState, Status};
 use frostgauge_gateway::core::{Command, Core, Input};
 use frostgauge_identity::{Answer, Grant};
 use frostgauge_settings::Loaded;
@@ -41,7 +41,7 @@
     AtNode(usize, Job),
     Done(usize, u32, Job),
     Late(usize, u32, u64, u32),
-    List(usize, u64, Rc<Vec<Entry>>),
+    List(usize, u64, Rc<Vec<ServerEntry>>),
     Fault(usize),
     Back(Vec<usize>),
     Unslow(u32),
@@ -200,8 +200,8 @@
         Ok(Gateway { core, incarnation, caller, wake: 0, listed: self.version, starts, open, out })
     }
 
-    pub(crate) fn entries(&self) -> Vec<Entry> {
-        let entry = |(k, n): (usize, &frostgauge_settings::Node)| Entry {
+    pub(crate) fn entries(&self) -> Vec<ServerEntry> {
+        let entry = |(k, n): (usize, &frostgauge_settings::Node)| ServerEntry {
             state: if self.nodes[k].alive { ServerState::Ready } else { ServerState::Removed },
             ready_at: self.nodes[k].started,
             ..n.entry.clone()
@@ -253,7 +253,7 @@
                     let gateway = &mut self.gateways[k];
                     gateway.listed = version;
                     gateway.starts = entries.iter().map(|e| e.ready_at).collect();
-                    let there: Vec<Entry> =
+                    let there: Vec<ServerEntry> =
                         entries.iter().filter(|e| e.state != ServerState::Removed).cloned().collect();
                     gateway.core.servers(self.now, there, &mut out);
                     self.settle(k, out);
--- a/src/api.rs
+++ b/src/api.rs
@@ -204,7 +204,7 @@
 
 /// One entry of the list of servers.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Its state.
@@ -283,7 +283,7 @@
         /// Kind of update.
         kind: ListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// A client's request came in.
     Request {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -48,7 +48,7 @@
 //! };
 //! let mut actions = Vec::new();
 //! let mut gateway = Gateway::new(settings, 7, 0)?;
-//! let entry = Entry { server: ServerId(1), state: ServerState::Ready, ready_at: 0, size: 1.0, zone: 0, cell: 0 };
+//! let entry = ServerEntry { server: ServerId(1), state: ServerState::Ready, ready_at: 0, size: 1.0, zone: 0, cell: 0 };
 //! gateway.handle(0, Event::Servers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! let request = Event::Request {
 //!     id: RequestId(1),
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -1,6 +1,6 @@
 //! The servers of the back end as listed, with the state kept for each.
 
-use crate::api::{Entry, ListKind, Micros, ServerId, State};
+use crate::api::{ServerEntry, ListKind, Micros, ServerId, State};
 use crate::load_balancing::ServerLoad;
 use crate::outlier_detection::Health;
 use crate::random::Random;
@@ -10,7 +10,7 @@
 /// One server.
 pub(crate) struct Server {
     /// What the list says of it.
-    pub entry: Entry,
+    pub entry: ServerEntry,
     pub load: ServerLoad,
     pub health: Health,
     pub slow_start: SlowStart,
@@ -59,7 +59,7 @@
     }
 
     /// Applies an update of the list. A server that restarted is a new one.
-    pub fn update(&mut self, now: Micros, kind: ListKind, entries: Vec<Entry>, random: &mut Random) {
+    pub fn update(&mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>, random: &mut Random) {
         if kind != ListKind::Delta {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, server) in self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -75,7 +75,7 @@
         self.maybe_warming_up.clone_from(&self.ready);
     }
 
-    fn update_entry(&mut self, now: Micros, entry: Entry, random: &mut Random) {
+    fn update_entry(&mut self, now: Micros, entry: ServerEntry, random: &mut Random) {
         let id = entry.server;
         let known = self.by_id.get_mut(&id);
         let in_flight = known.as_ref().map_or(0, |server| server.load.in_flight());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -59,8 +59,8 @@
     }
 }
 
-pub fn entry(server: u64, zone: u32) -> Entry {
-    Entry { server: ServerId(server), state: ServerState::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
+pub fn entry(server: u64, zone: u32) -> ServerEntry {
+    ServerEntry { server: ServerId(server), state: ServerState::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
 }
 
 /// A gateway with its clock, its pending timers and what it did last.
@@ -73,7 +73,7 @@
 
 impl Rig {
     /// Starts at one second with the given servers listed.
-    pub fn new(settings: Settings, servers: &[Entry]) -> Rig {
+    pub fn new(settings: Settings, servers: &[ServerEntry]) -> Rig {
         let gateway = Gateway::new(settings, 11, S).expect("sound settings");
         let mut rig = Rig { gateway, now: S, timers: Vec::new(), next: 0 };
         rig.event(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
--- a/tests/few.rs
+++ b/tests/few.rs
@@ -104,7 +104,7 @@
     let (came, good, _) = served(&mut rig, 5, lost);
     assert!((0..2).all(|class| good[class] * 10 >= came[class] * 9), "{good:?} of {came:?} while it is lost");
     let start = rig.now;
-    let cold = |k: u64| Entry { ready_at: start, ..entry(k + 1, 1) };
+    let cold = |k: u64| ServerEntry { ready_at: start, ..entry(k + 1, 1) };
     let entries = (0..60).filter(|k| k % 3 == 1).map(cold).collect();
     rig.event(Event::Servers { kind: ListKind::Delta, entries });
     let (came, good, there) = served(&mut rig, 8, |_| Status::Ok);
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -189,7 +189,7 @@
                 w.event(Event::ClientGone { id });
             }
             Step::List { server, state } => {
-                let e = Entry { state, ..entry(server, (server % 2) as u32) };
+                let e = ServerEntry { state, ..entry(server, (server % 2) as u32) };
                 w.ready.insert(e.server, state == ServerState::Ready);
                 w.event(Event::Servers { kind: ListKind::Delta, entries: vec![e] });
             }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -139,7 +139,7 @@
 fn a_cold_server_gets_from_all_gateways_no_more_than_its_part() {
     let n = 300;
     let mut all: Vec<Gateway> = (0..n).map(|me| gateway(metered(), me, n, 31 * me as u64 + 7)).collect();
-    let cold = Entry { ready_at: 3 * S, ..entry(20, 0) };
+    let cold = ServerEntry { ready_at: 3 * S, ..entry(20, 0) };
     let (mut to_cold, mut total) = (0, 0);
     for (me, g) in all.iter_mut().enumerate() {
         for k in 0..12 {
@@ -201,7 +201,7 @@
             }
             let list = |(server, at): &(u64, Micros)| {
                 let state = if now < at + S || *server == 22 { ServerState::Ready } else { ServerState::Removed };
-                Entry { ready_at: *at, state, ..entry(*server, 0) }
+                ServerEntry { ready_at: *at, state, ..entry(*server, 0) }
             };
             let entries = starts.iter().filter(|(_, at)| now >= *at).map(list).collect();
             g.handle(now, Event::Servers { kind: ListKind::Delta, entries }, &mut Vec::new());
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -4,8 +4,8 @@
 use common::*;
 use frostgauge::*;
 
-fn delta(entry: Entry, state: ServerState) -> Event {
-    Event::Servers { kind: ListKind::Delta, entries: vec![Entry { state, ..entry }] }
+fn delta(entry: ServerEntry, state: ServerState) -> Event {
+    Event::Servers { kind: ListKind::Delta, entries: vec![ServerEntry { state, ..entry }] }
 }
 
 #[test]
@@ -44,7 +44,7 @@
     for k in 0..3 * offered {
         rig.run_to(S + k * 1_500 * MS / offered);
         if k == 2 * offered {
-            rig.event(delta(Entry { ready_at: rig.now, ..entry(2, 0) }, ServerState::Ready));
+            rig.event(delta(ServerEntry { ready_at: rig.now, ..entry(2, 0) }, ServerState::Ready));
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
         let Some(server) = sent(&actions) else { continue };
@@ -159,7 +159,7 @@
 fn sends_to_a_cold_fleet(start: Micros) -> Vec<[usize; 2]> {
     let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, &[]);
     rig.run_to(100 * S);
-    let cold = |k| Entry { ready_at: start, ..entry(k, 0) };
+    let cold = |k| ServerEntry { ready_at: start, ..entry(k, 0) };
     rig.event(Event::Servers { kind: ListKind::Full, entries: vec![cold(1), cold(2)] });
     let mut sends = vec![[0; 2]; 12];
     for k in 0..480 {
