--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -42,7 +42,7 @@
             reports: Reports::Answers,
             ..Capabilities::default()
         },
-        rules: Rules {
+        backend_limits: BackendLimits {
             answer_slack: 8_000,
             slow_start_share: 0.2,
             slow_start_time: 17_000_000,
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object of the simulator's first message and of the platform's configuration file, read into the decision
 //! library's settings and those of sockets. Unknown keys are ignored.
 
-use frostgauge::{Capabilities, Class, Effect, Group, Load, Micros, Plan, Reports, Rules, Settings};
+use frostgauge::{Capabilities, Class, Effect, Group, Load, Micros, Plan, Reports, BackendLimits, Settings};
 use serde_json::Value;
 
 /// A setting that is missing, of the wrong type or out of range.
@@ -129,7 +129,7 @@
         classes: root.list("classes")?.iter().map(class).collect::<Result<_, _>>()?,
         plans: root.list("plans")?.iter().map(plan).collect::<Result<_, _>>()?,
         capabilities: capabilities(&root, &limits, &family, &stats)?,
-        rules: Rules {
+        backend_limits: BackendLimits {
             answer_slack: rules.whole("graceToAnswerUs")?,
             slow_start_share: rules.number("coldFrom")?,
             slow_start_time: rules.whole("warmAfterUs")?,
--- a/crates/settings/src/decision_settings.rs
+++ b/crates/settings/src/decision_settings.rs
@@ -16,7 +16,7 @@
         classes: file.classes.values().map(class).collect(),
         plans: file.plans.values().map(plan).collect(),
         capabilities: capabilities(file),
-        rules: frostgauge::Rules {
+        backend_limits: frostgauge::BackendLimits {
             answer_slack: file.limits.answer_margin_ms * MS,
             slow_start_share: file.rules.slow_start_share,
             slow_start_time: file.rules.slow_start_ms * MS,
--- a/src/api.rs
+++ b/src/api.rs
@@ -139,7 +139,7 @@
 
 /// Limits that the back end sets.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct BackendLimits {
     /// A final answer still counts this long after the client's deadline, µs.
     pub answer_slack: Micros,
     /// Share of its capacity that a server has at least when it starts.
@@ -170,7 +170,7 @@
     /// What the gateway may do.
     pub capabilities: Capabilities,
     /// Limits that the back end sets.
-    pub rules: Rules,
+    pub backend_limits: BackendLimits,
 }
 
 /// A setting that is out of range.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -88,7 +88,7 @@
             admission: Admission::new(&settings),
             servers: Servers::default(),
             outliers: OutlierDetector::new(),
-            balancer: LoadBalancer::new(settings.zone, settings.gateways, settings.rules.clone()),
+            balancer: LoadBalancer::new(settings.zone, settings.gateways, settings.backend_limits.clone()),
             prober: Prober::new(capabilities),
             send_rate: DecayingRate::default(),
             settings,
@@ -258,7 +258,7 @@
     /// Earns the credit of servers that are warming up, at the rate that a warm server is sent here. Where
     /// none is warm, that is no guide, and the rate is estimated by what each server serves.
     fn earn_slow_start(&mut self, now: Micros) {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.backend_limits;
         let ready = self.servers.ready();
         let send_rate = self.send_rate.get(now) / ready.len().max(1) as f64;
         let is_warming_up =
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,7 +38,7 @@
 //!         max_attempts: 3,
 //!         ..Capabilities::default()
 //!     },
-//!     rules: Rules {
+//!     backend_limits: BackendLimits {
 //!         answer_slack: 5_000,
 //!         slow_start_share: 0.2,
 //!         slow_start_time: 10_000_000,
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -1,6 +1,6 @@
 //! Load balancing: the choice of a server by expected wait, success rate and zone.
 
-use crate::api::{Effect, Group, Load, Micros, RejectReason, Rules, ServerId, Status};
+use crate::api::{Effect, Group, Load, Micros, RejectReason, BackendLimits, ServerId, Status};
 use crate::decay::decay;
 use crate::outlier_detection::{Health, OutlierDetector};
 use crate::probing::requests_of_others;
@@ -121,7 +121,7 @@
 pub(crate) struct LoadBalancer {
     zone: u32,
     gateways: usize,
-    rules: Rules,
+    backend_limits: BackendLimits,
     /// Service time per request in flight, of all answers, µs.
     service_time_us: Option<f64>,
     /// The servers last heard of: their connections are established.
@@ -129,7 +129,7 @@
 }
 
 impl LoadBalancer {
-    pub fn new(zone: u32, gateways: usize, rules: Rules) -> LoadBalancer {
+    pub fn new(zone: u32, gateways: usize, backend_limits: BackendLimits) -> LoadBalancer {
         LoadBalancer { zone, gateways, rules, service_time_us: None, recent: VecDeque::new() }
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Whether the server may be sent the request at all.
-    fn is_eligible(&self, server: &Server, rules: &Rules) -> bool {
+    fn is_eligible(&self, server: &Server, rules: &BackendLimits) -> bool {
         let shares_keys = self.home.is_none_or(|(zone, cell)| match self.criteria.effect {
             Effect::Keyed { group: Group::Zone, .. } => server.entry.zone == zone,
             Effect::Keyed { group: Group::Cell, .. } => server.entry.cell == cell,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! The part is earned over time as a credit and spent a request at a time.
 
-use crate::api::{Micros, Rules};
+use crate::api::{Micros, BackendLimits};
 use crate::decay::seconds;
 
 /// Share of the load at which a server collapses that all gateways use together: requests differ in size.
@@ -28,7 +28,7 @@
     }
 
     /// Minimum capacity of the server, as a share of its full capacity.
-    pub fn capacity(&self, now: Micros, rules: &Rules) -> f64 {
+    pub fn capacity(&self, now: Micros, rules: &BackendLimits) -> f64 {
         if self.ready_at == 0 || rules.slow_start_time == 0 {
             return 1.0;
         }
@@ -48,7 +48,7 @@
 
     /// Earns the credit of an interval, given the rate at which this gateway may send to a warm server,
     /// requests/s.
-    pub fn earn(&mut self, now: Micros, interval: Micros, warm_rate: f64, rules: &Rules) {
+    pub fn earn(&mut self, now: Micros, interval: Micros, warm_rate: f64, rules: &BackendLimits) {
         let share = (COLLAPSE_SAFETY * rules.collapse_multiple).min(1.0);
         let rate = share * self.capacity(now, rules) * warm_rate;
         let max_credit = (rate * seconds(rules.collapse_time)).max(1.0);
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -92,7 +92,7 @@
     assert_eq!(refusal(|s| s.gateway_id = 2).as_deref(), Some("me"));
     assert_eq!(refusal(|s| s.tick = 0).as_deref(), Some("tick"));
     assert_eq!(
-        refusal(|s| s.rules.collapse_multiple = f64::INFINITY).as_deref(),
+        refusal(|s| s.backend_limits.collapse_multiple = f64::INFINITY).as_deref(),
         Some("rules.fall_multiple")
     );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -49,7 +49,7 @@
             peer_messages_per_s: 40.0,
             ..Capabilities::default()
         },
-        rules: Rules {
+        backend_limits: BackendLimits {
             answer_slack: 8 * MS,
             slow_start_share: 0.2,
             slow_start_time: 10 * S,
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -174,7 +174,7 @@
 }
 
 /// What a cold server may get at most within the settings' time, of requests of which a warm one takes so many a second.
-fn cold_part(rules: &Rules, up: Micros, rate: f64) -> f64 {
+fn cold_part(rules: &BackendLimits, up: Micros, rate: f64) -> f64 {
     let ramp =
         rules.slow_start_share + (1.0 - rules.slow_start_share) * up as f64 / rules.slow_start_time as f64;
     let part = rules.collapse_multiple * ramp * rate * rules.collapse_time as f64 / S as f64;
@@ -185,7 +185,7 @@
 fn a_server_back_cold_under_new_ids_at_restarting_gateways_gets_its_part() {
     const GATEWAYS: usize = 25;
     const STEP: Micros = 100 * MS;
-    let rules = settings().rules;
+    let rules = settings().backend_limits;
     // One server joins, and is there again under another id a second later, and again.
     let starts = [(20, 3 * S), (21, 4 * S), (22, 5 * S)];
     let fresh = |me: usize, life: u64| gateway(metered(), me, GATEWAYS, life * 1_000 + me as u64);
