--- a/src/check.rs
+++ b/src/check.rs
@@ -50,7 +50,7 @@
         sound(value.is_finite() && value >= 0.0, &format!("allow.{name}"), "is negative or not finite")?;
     }
     for (name, value) in
-        [("cold_from", s.backend_limits.slow_start_share), ("fall_multiple", s.rules.collapse_multiple)]
+        [("cold_from", s.backend_limits.slow_start_share), ("fall_multiple", s.backend_limits.collapse_multiple)]
     {
         sound(value.is_finite() && value >= 0.0, &format!("rules.{name}"), "is negative or not finite")?;
     }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -258,11 +258,11 @@
     /// Earns the credit of servers that are warming up, at the rate that a warm server is sent here. Where
     /// none is warm, that is no guide, and the rate is estimated by what each server serves.
     fn earn_slow_start(&mut self, now: Micros) {
-        let rules = &self.settings.backend_limits;
+        let limits = &self.settings.backend_limits;
         let ready = self.servers.ready();
         let send_rate = self.send_rate.get(now) / ready.len().max(1) as f64;
         let is_warming_up =
-            |id: &ServerId| self.servers.ready_server(*id).slow_start.capacity(now, rules) < 1.0;
+            |id: &ServerId| self.servers.ready_server(*id).slow_start.capacity(now, limits) < 1.0;
         let none_is_warm = ready.iter().all(is_warming_up);
         let usual = self.balancer.usual_service_time();
         let gateways = self.settings.gateways as f64;
@@ -272,7 +272,7 @@
             } else {
                 0.0
             };
-            server.slow_start.earn(now, HOUSEKEEPING_INTERVAL, send_rate.max(served), rules);
+            server.slow_start.earn(now, HOUSEKEEPING_INTERVAL, send_rate.max(served), limits);
         }
     }
 }
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -130,7 +130,7 @@
 
 impl LoadBalancer {
     pub fn new(zone: u32, gateways: usize, backend_limits: BackendLimits) -> LoadBalancer {
-        LoadBalancer { zone, gateways, rules, service_time_us: None, recent: VecDeque::new() }
+        LoadBalancer { zone, gateways, backend_limits, service_time_us: None, recent: VecDeque::new() }
     }
 
     /// Usual service time per request in flight, µs.
@@ -171,7 +171,7 @@
                 none = RejectReason::Zone;
                 continue;
             }
-            if !comparison.is_eligible(server, &self.rules) {
+            if !comparison.is_eligible(server, &self.backend_limits) {
                 continue;
             }
             let (wait, score, is_last_resort) = self.score(&comparison, server);
@@ -204,7 +204,7 @@
         let draws = DRAWS_PER_CANDIDATE * count;
         let draw = |_| (random.next() * ready_count as f64) as usize;
         let mut indices: Vec<usize> = (0..draws).map(draw).collect();
-        let is_warming_up = |server: &Server| server.slow_start.capacity(now, &self.rules) < 1.0;
+        let is_warming_up = |server: &Server| server.slow_start.capacity(now, &self.backend_limits) < 1.0;
         servers.retain_warming_up(is_warming_up);
         let has_credit = |id: &&ServerId| servers.ready_server(**id).slow_start.has_credit();
         let with_credit = servers.maybe_warming_up().iter().filter(has_credit);
@@ -217,7 +217,7 @@
     /// Expected wait at a server, its score, and whether it is a last resort.
     fn score(&self, comparison: &Comparison, server: &Server) -> (f64, f64, bool) {
         let (now, criteria) = (comparison.now, comparison.criteria);
-        let capacity = server.slow_start.capacity(now, &self.rules);
+        let capacity = server.slow_start.capacity(now, &self.backend_limits);
         // In a sample, a credit that is due goes first: warm servers whose queues are not known always look
         // faster.
         let is_due = comparison.is_sample && capacity < 1.0;
@@ -284,14 +284,14 @@
     }
 
     /// Whether the server may be sent the request at all.
-    fn is_eligible(&self, server: &Server, rules: &BackendLimits) -> bool {
+    fn is_eligible(&self, server: &Server, limits: &BackendLimits) -> bool {
         let shares_keys = self.home.is_none_or(|(zone, cell)| match self.criteria.effect {
             Effect::Keyed { group: Group::Zone, .. } => server.entry.zone == zone,
             Effect::Keyed { group: Group::Cell, .. } => server.entry.cell == cell,
             _ => true,
         });
         let slow_start = &server.slow_start;
-        let has_capacity = slow_start.capacity(self.now, rules) >= 1.0 || slow_start.has_credit();
+        let has_capacity = slow_start.capacity(self.now, limits) >= 1.0 || slow_start.has_credit();
         let is_avoided = self.ejections_trusted && server.health.is_ejected(self.now);
         shares_keys && has_capacity && !is_avoided
     }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -28,12 +28,12 @@
     }
 
     /// Minimum capacity of the server, as a share of its full capacity.
-    pub fn capacity(&self, now: Micros, rules: &BackendLimits) -> f64 {
-        if self.ready_at == 0 || rules.slow_start_time == 0 {
+    pub fn capacity(&self, now: Micros, limits: &BackendLimits) -> f64 {
+        if self.ready_at == 0 || limits.slow_start_time == 0 {
             return 1.0;
         }
-        let progress = now.saturating_sub(self.started_at) as f64 / rules.slow_start_time as f64;
-        (rules.slow_start_share + (1.0 - rules.slow_start_share) * progress).clamp(MIN_CAPACITY, 1.0)
+        let progress = now.saturating_sub(self.started_at) as f64 / limits.slow_start_time as f64;
+        (limits.slow_start_share + (1.0 - limits.slow_start_share) * progress).clamp(MIN_CAPACITY, 1.0)
     }
 
     /// Whether the credit allows a request.
@@ -48,10 +48,10 @@
 
     /// Earns the credit of an interval, given the rate at which this gateway may send to a warm server,
     /// requests/s.
-    pub fn earn(&mut self, now: Micros, interval: Micros, warm_rate: f64, rules: &BackendLimits) {
-        let share = (COLLAPSE_SAFETY * rules.collapse_multiple).min(1.0);
-        let rate = share * self.capacity(now, rules) * warm_rate;
-        let max_credit = (rate * seconds(rules.collapse_time)).max(1.0);
+    pub fn earn(&mut self, now: Micros, interval: Micros, warm_rate: f64, limits: &BackendLimits) {
+        let share = (COLLAPSE_SAFETY * limits.collapse_multiple).min(1.0);
+        let rate = share * self.capacity(now, limits) * warm_rate;
+        let max_credit = (rate * seconds(limits.collapse_time)).max(1.0);
         self.credit = (self.credit + rate * seconds(interval)).clamp(-max_credit, max_credit);
     }
 }
