--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -28,7 +28,7 @@
         gateways: GATEWAYS,
         zone: 0,
         tick: 1_000,
-        classes: vec![class(2.0, Effect::Safe), class(6.0, Effect::Fragile)],
+        classes: vec![class(2.0, Effect::Idempotent), class(6.0, Effect::NonIdempotent)],
         plans: vec![plan, ceiling],
         capabilities: Capabilities {
             peers: true,
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -18,7 +18,7 @@
 
 impl Gate for ZoneGate {
     fn open(&mut self, now: Micros, attempting: &PendingAttempt) -> u64 {
-        let ask = Ask { safe: attempting.safe, worth: attempting.priority_weight };
+        let ask = Ask { safe: attempting.idempotent, worth: attempting.priority_weight };
         self.zones.as_mut().map_or(u64::MAX, |zones| zones.open(now, ask))
     }
 
--- a/crates/platform-protocol/src/request.rs
+++ b/crates/platform-protocol/src/request.rs
@@ -74,7 +74,7 @@
     let class = site.classes.iter().position(|c| c == class_name);
     let class = class.ok_or(Rejection { status: 404, reason: "no such class" })?;
     // The class fixes the method: a safe one comes as GET without content, any other as POST.
-    let safe = matches!(site.settings.classes.get(class).map(|c| c.effect), Some(Effect::Safe));
+    let safe = matches!(site.settings.classes.get(class).map(|c| c.effect), Some(Effect::Idempotent));
     if head.method() != if safe { "GET" } else { "POST" } {
         return Err(Rejection { status: 405, reason: "not this class's method" });
     }
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object of the simulator's first message and of the platform's configuration file, read into the decision
 //! library's settings and those of sockets. Unknown keys are ignored.
 
-use frostgauge::{Capabilities, Class, Effect, Group, Load, Micros, Plan, Reports, BackendLimits, Settings};
+use frostgauge::{Capabilities, Class, Effect, DedupScope, Load, Micros, Plan, Reports, BackendLimits, Settings};
 use serde_json::Value;
 
 /// A setting that is missing, of the wrong type or out of range.
@@ -152,10 +152,10 @@
 }
 
 fn class(class: &Reader) -> Result<Class, ReadError> {
-    let group = match class.text("group") {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+    let scope = match class.text("group") {
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
+        _ => DedupScope::All,
     };
     Ok(Class {
         latency_objective: class.whole("aimUs")?,
@@ -163,9 +163,9 @@
         late_weight_share: class.number("lateWorth")?,
         priority_weight: class.number("value")?,
         effect: match class.text("semantics") {
-            "retryable" => Effect::Safe,
-            "dedup" => Effect::Keyed { group, window: class.whole("windowUs")? },
-            "fragile" => Effect::Fragile,
+            "retryable" => Effect::Idempotent,
+            "dedup" => Effect::Deduplicated { scope, window: class.whole("windowUs")? },
+            "fragile" => Effect::NonIdempotent,
             _ => return Err(class.error("semantics", "is not known")),
         },
         stream: class.flag("stream"),
--- a/crates/platform-protocol/tests/values.rs
+++ b/crates/platform-protocol/tests/values.rs
@@ -32,7 +32,7 @@
     assert_eq!((site.settings.gateway_id, site.settings.gateways, site.settings.zone), (2, 3, 1));
     assert_eq!(site.classes, ["read", "report"]);
     assert_eq!(site.plans, ["base"]);
-    assert_eq!(site.settings.classes[1].effect, Effect::Fragile);
+    assert_eq!(site.settings.classes[1].effect, Effect::NonIdempotent);
     assert_eq!(site.columns, [Column::Inflight, Column::Latency, Column::Other]);
     assert_eq!((site.idle, site.connect, site.drain_grace), (15_000_000, 250_000, 500_000));
 }
--- a/crates/settings/src/decision_settings.rs
+++ b/crates/settings/src/decision_settings.rs
@@ -28,13 +28,13 @@
 
 fn effect(effect: &Effect) -> frostgauge::Effect {
     match effect {
-        Effect::Safe => frostgauge::Effect::Safe,
-        Effect::Unsafe => frostgauge::Effect::Fragile,
-        Effect::Keyed { group, window_ms } => frostgauge::Effect::Keyed {
-            group: match group {
-                Group::All => frostgauge::Group::All,
-                Group::Zone => frostgauge::Group::Zone,
-                Group::Cell => frostgauge::Group::Cell,
+        Effect::Safe => frostgauge::Effect::Idempotent,
+        Effect::Unsafe => frostgauge::Effect::NonIdempotent,
+        Effect::Keyed { group, window_ms } => frostgauge::Effect::Deduplicated {
+            scope: match group {
+                Group::All => frostgauge::DedupScope::All,
+                Group::Zone => frostgauge::DedupScope::Zone,
+                Group::Cell => frostgauge::DedupScope::Cell,
             },
             window: window_ms * MS,
         },
--- a/src/api.rs
+++ b/src/api.rs
@@ -21,21 +21,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Idempotent: running twice does no harm.
-    Safe,
+    Idempotent,
     /// Servers of one group deduplicate the request by its key for a while.
-    Keyed {
+    Deduplicated {
         /// The servers that share the keys they have seen.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember a key, in µs from the send of the first attempt that may have run.
         window: Micros,
     },
     /// Not idempotent: must never run twice.
-    Fragile,
+    NonIdempotent,
 }
 
 /// Which servers share the deduplication keys of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -377,7 +377,7 @@
     /// The request.
     pub id: RequestId,
     /// It may run twice without harm.
-    pub safe: bool,
+    pub idempotent: bool,
     /// Its priority weight.
     pub priority_weight: f64,
 }
--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::TARGET_LATENCY;
 use crate::api::{
-    Action, Effect, Gate, Group, Micros, PendingAttempt, RejectReason, RequestId, ServerId, Status,
+    Action, Effect, Gate, DedupScope, Micros, PendingAttempt, RejectReason, RequestId, ServerId, Status,
 };
 use crate::gateway::Gateway;
 use crate::load_balancing::{Choice, Criteria, REJECTION_BACKOFF};
@@ -70,7 +70,7 @@
         let class = &self.settings.classes[request.class];
         let pending = PendingAttempt {
             id,
-            safe: class.effect == Effect::Safe,
+            idempotent: class.effect == Effect::Idempotent,
             priority_weight: class.priority_weight * self.settings.plans[request.plan].weight_factor,
         };
         let criteria = Criteria {
@@ -127,7 +127,7 @@
         let is_open = |request: &&mut crate::request::Request| !request.finished && !request.started;
         let Some(request) = self.requests.get_mut(&id).filter(is_open) else { return };
         let is_harmless = match self.settings.classes[request.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Idempotent | Effect::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => request.first_that_may_run().is_none(),
         };
         out.push(if is_harmless {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 //!         deadline: 2_000_000,
 //!         late_weight_share: 0.0,
 //!         priority_weight: 1.0,
-//!         effect: Effect::Safe,
+//!         effect: Effect::Idempotent,
 //!         stream: false,
 //!     }],
 //!     plans: vec![Plan {
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -1,6 +1,6 @@
 //! Load balancing: the choice of a server by expected wait, success rate and zone.
 
-use crate::api::{Effect, Group, Load, Micros, RejectReason, BackendLimits, ServerId, Status};
+use crate::api::{Effect, DedupScope, Load, Micros, RejectReason, BackendLimits, ServerId, Status};
 use crate::decay::decay;
 use crate::outlier_detection::{Health, OutlierDetector};
 use crate::probing::requests_of_others;
@@ -286,8 +286,8 @@
     /// Whether the server may be sent the request at all.
     fn is_eligible(&self, server: &Server, limits: &BackendLimits) -> bool {
         let shares_keys = self.home.is_none_or(|(zone, cell)| match self.criteria.effect {
-            Effect::Keyed { group: Group::Zone, .. } => server.entry.zone == zone,
-            Effect::Keyed { group: Group::Cell, .. } => server.entry.cell == cell,
+            Effect::Deduplicated { scope: DedupScope::Zone, .. } => server.entry.zone == zone,
+            Effect::Deduplicated { scope: DedupScope::Cell, .. } => server.entry.cell == cell,
             _ => true,
         });
         let slow_start = &server.slow_start;
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -69,9 +69,9 @@
 fn may_run_again(now: Micros, request: &Request, class: &Class) -> bool {
     let ran = request.first_that_may_have_run();
     match class.effect {
-        Effect::Safe => true,
-        Effect::Keyed { window, .. } => ran.is_none_or(|attempt| now < attempt.sent_at + window),
-        Effect::Fragile => ran.is_none(),
+        Effect::Idempotent => true,
+        Effect::Deduplicated { window, .. } => ran.is_none_or(|attempt| now < attempt.sent_at + window),
+        Effect::NonIdempotent => ran.is_none(),
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -39,7 +39,7 @@
         gateways: 2,
         zone: 0,
         tick: 2 * MS,
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Effect::Idempotent)],
         plans: vec![plan()],
         capabilities: Capabilities {
             cancel: true,
--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -4,7 +4,7 @@
 use common::*;
 use frostgauge::*;
 
-const ZONED: Effect = Effect::Keyed { group: Group::Zone, window: 500 * MS };
+const ZONED: Effect = Effect::Deduplicated { scope: DedupScope::Zone, window: 500 * MS };
 
 fn first(effect: Effect) -> (Rig, RequestId, ServerId) {
     let mut s = settings();
@@ -18,7 +18,7 @@
 #[test]
 fn a_fragile_request_that_may_have_run_fails_and_is_not_repeated() {
     for status in [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled] {
-        let (mut rig, id, server) = first(Effect::Fragile);
+        let (mut rig, id, server) = first(Effect::NonIdempotent);
         let actions = rig.outcome(id, 0, server, status);
         assert!(
             failed(&actions) && sent(&actions).is_none() && !refused(&actions),
@@ -30,7 +30,7 @@
 #[test]
 fn a_fragile_request_that_never_ran_goes_elsewhere() {
     for status in [Status::Rejected, Status::ConnectFailed] {
-        let (mut rig, id, server) = first(Effect::Fragile);
+        let (mut rig, id, server) = first(Effect::NonIdempotent);
         let again = sent(&rig.outcome(id, 0, server, status));
         assert!(again.is_some_and(|s| s != server), "{status:?}");
     }
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_fragile_request_out_at_its_deadline_fails() {
-    let (mut rig, id, _) = first(Effect::Fragile);
+    let (mut rig, id, _) = first(Effect::NonIdempotent);
     let done = rig.run_to(4 * S);
     assert!(done.iter().any(|(_, a)| *a == Action::Fail { id }));
     assert!(!done.iter().any(|(_, a)| matches!(a, Action::Reject { .. })));
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_safe_request_is_repeated() {
-    let (mut rig, id, server) = first(Effect::Safe);
+    let (mut rig, id, server) = first(Effect::Idempotent);
     let again = sent(&rig.outcome(id, 0, server, Status::Error));
     assert!(again.is_some_and(|s| s != server));
 }
@@ -69,14 +69,14 @@
 
 #[test]
 fn a_keyed_request_whose_repeats_all_servers_drop_may_be_refused() {
-    let (mut rig, id, server) = first(Effect::Keyed { group: Group::All, window: 500 * MS });
+    let (mut rig, id, server) = first(Effect::Deduplicated { scope: DedupScope::All, window: 500 * MS });
     rig.now += 501 * MS;
     assert!(refused(&rig.outcome(id, 0, server, Status::Error)));
 }
 
 #[test]
 fn attempts_stop_at_the_cap() {
-    let (mut rig, id, mut server) = first(Effect::Safe);
+    let (mut rig, id, mut server) = first(Effect::Idempotent);
     for attempt in 0..3 {
         server = sent(&rig.outcome(id, attempt, server, Status::Error)).expect("within the cap");
     }
--- a/tests/few.rs
+++ b/tests/few.rs
@@ -8,7 +8,7 @@
 fn rig() -> Rig {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Safe), Class { priority_weight: 10.0, ..class(Effect::Fragile) }];
+    s.classes = vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     Rig::new(s, &(0..60).map(|k| entry(k + 1, k as u32 % 3)).collect::<Vec<_>>())
 }
 
@@ -134,7 +134,7 @@
 fn with_peers_list_and_counter_silent_each_request_ends_once_and_nothing_runs_twice() {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Safe), class(Effect::Fragile)];
+    s.classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent)];
     s.capabilities = Capabilities {
         peers: true,
         shared_counter: true,
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -121,8 +121,8 @@
 
 fn play(steps: Vec<Step>) {
     let mut s = settings();
-    let keyed = |group| class(Effect::Keyed { group, window: 500 * MS });
-    s.classes = vec![class(Effect::Safe), class(Effect::Fragile), keyed(Group::Zone), keyed(Group::All)];
+    let keyed = |scope| class(Effect::Deduplicated { scope, window: 500 * MS });
+    s.classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent), keyed(DedupScope::Zone), keyed(DedupScope::All)];
     s.plans[0] =
         Plan { ceiling_rate: 6.0, ceiling_burst: 8.0, ceiling_slack: 2.0, rate: 5.0, burst: 8.0, ..plan() };
     let servers: Vec<_> = (1..5).map(|k| entry(k, (k % 2) as u32)).collect();
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -11,7 +11,7 @@
 
 fn rig() -> Rig {
     let mut s = Settings { gateways: 1, ..settings() };
-    s.classes = vec![class(Effect::Safe), Class { priority_weight: 4.0, ..class(Effect::Safe) }];
+    s.classes = vec![class(Effect::Idempotent), Class { priority_weight: 4.0, ..class(Effect::Idempotent) }];
     Rig::new(s, &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)])
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn few_gateways_with_nothing_out_refuse_nobody_for_a_jam_that_is_over() {
     // Ten servers before three gateways: at rest this one's part is over 16 attempts, after slow answers under five.
-    let s = Settings { gateways: 3, classes: vec![class(Effect::Safe)], ..settings() };
+    let s = Settings { gateways: 3, classes: vec![class(Effect::Idempotent)], ..settings() };
     let mut rig = Rig::new(s, &(1..=10).map(|k| entry(k, 0)).collect::<Vec<_>>());
     let mut out = std::collections::VecDeque::new();
     // A jam: answers take 500 ms each, and as much is out as may be.
@@ -116,7 +116,7 @@
 fn a_cheap_class_is_served_beside_attempts_that_fell_silent_where_the_part_is_a_few() {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Safe), Class { priority_weight: 10.0, ..class(Effect::Fragile) }];
+    s.classes = vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     let mut rig = Rig::new(s, &(1..=60).map(|k| entry(k, 0)).collect::<Vec<_>>());
     let (mut answered, mut cheap) = (Vec::new(), 0);
     // One request in four, once a second, goes to a server that says nothing; nobody else takes long.
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_server_that_turns_one_class_away_is_left_by_that_class_and_kept_by_the_other() {
-    let classes = vec![class(Effect::Safe), class(Effect::Fragile)];
+    let classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent)];
     let mut rig = Rig::new(Settings { classes, ..settings() }, &[entry(1, 0), entry(2, 0)]);
     // Known as the quicker one.
     for k in 0..50 {
