--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -39,7 +39,7 @@
             peer_messages_per_s: 40.0,
             clients_mark_retries: true,
             usage_period: 500_000,
-            reports: Reports::Answers,
+            load_reports: LoadReports::Answers,
             ..Capabilities::default()
         },
         backend_limits: BackendLimits {
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object of the simulator's first message and of the platform's configuration file, read into the decision
 //! library's settings and those of sockets. Unknown keys are ignored.
 
-use frostgauge::{Capabilities, Class, Effect, DedupScope, Load, Micros, Plan, Reports, BackendLimits, Settings};
+use frostgauge::{Capabilities, Class, Effect, DedupScope, Load, Micros, Plan, LoadReports, BackendLimits, Settings};
 use serde_json::Value;
 
 /// A setting that is missing, of the wrong type or out of range.
@@ -210,10 +210,10 @@
         clients_mark_retries: root.object("callers").is_ok_and(|callers| callers.flag("marksRetry")),
         usage_period: family.whole("meterUs").unwrap_or(0),
         settles_units: family.flag("truedUp"),
-        reports: match stats.text("how") {
-            "answers" => Reports::Answers,
-            "probe" => Reports::Probe,
-            _ => Reports::None,
+        load_reports: match stats.text("how") {
+            "answers" => LoadReports::Answers,
+            "probe" => LoadReports::Probe,
+            _ => LoadReports::None,
         },
         must_subscribe: root.text("discovery") == "ask",
     })
--- a/crates/settings/src/decision_settings.rs
+++ b/crates/settings/src/decision_settings.rs
@@ -78,10 +78,10 @@
         peer_messages_per_s: file.fleet.peer_in_per_s,
         clients_mark_retries: true,
         usage_period: file.limits.meter_ms * MS,
-        reports: match file.limits.reports {
-            crate::Reports::Answers => frostgauge::Reports::Answers,
-            crate::Reports::Probe => frostgauge::Reports::Probe,
-            crate::Reports::None => frostgauge::Reports::None,
+        load_reports: match file.limits.reports {
+            crate::Reports::Answers => frostgauge::LoadReports::Answers,
+            crate::Reports::Probe => frostgauge::LoadReports::Probe,
+            crate::Reports::None => frostgauge::LoadReports::None,
         },
         shared_counter: file.counter.is_some(),
         counter_call_timeout: file.counter.as_ref().map_or(0, |c| c.limit_ms * MS),
--- a/src/api.rs
+++ b/src/api.rs
@@ -86,7 +86,7 @@
 
 /// How load reports reach the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// With answers and probes.
     Answers,
     /// With probes only.
@@ -132,7 +132,7 @@
     /// The units named in a request are estimates, settled by the first good answer.
     pub settles_units: bool,
     /// How load reports arrive.
-    pub reports: Reports,
+    pub load_reports: LoadReports,
     /// The gateway must subscribe to the list of servers.
     pub must_subscribe: bool,
 }
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,6 +1,6 @@
 //! Probing: when servers are probed for their load, and what load reports say.
 
-use crate::api::{Capabilities, Load, Micros, Reports};
+use crate::api::{Capabilities, Load, LoadReports, Micros};
 use crate::decay::seconds;
 use crate::load_balancing::LOAD_REPORT_HORIZON_S;
 
@@ -17,7 +17,7 @@
 
 impl Prober {
     pub fn new(capabilities: &Capabilities) -> Prober {
-        Prober { enabled: capabilities.probes && capabilities.reports == Reports::Probe, last_probe: 0 }
+        Prober { enabled: capabilities.probes && capabilities.load_reports == LoadReports::Probe, last_probe: 0 }
     }
 
     /// Whether all ready servers are to be probed now; not where their reports would be too old to be of use.
