--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -489,7 +489,7 @@
                         out.push(Command::AddToCounter { counter, amount, ttl });
                     }
                     // The list comes by reload; there is nothing to subscribe to.
-                    Action::Watch => {}
+                    Action::SubscribeToServers => {}
                     Action::Log { text } => out.push(Command::Log(text)),
                 }
             }
--- a/crates/simhost/src/actions.rs
+++ b/crates/simhost/src/actions.rs
@@ -28,7 +28,7 @@
         Action::Timer { at, timer } => json!(["wakeAt", number, at, timer.0.to_string()]),
         Action::Probe { server } => json!(["probe", number, instance.server_name(*server)?]),
         Action::SendToPeer { to, data } => json!(["publish", number, to, BASE64_STANDARD.encode(data)]),
-        Action::Watch => json!(["watch", number, true]),
+        Action::SubscribeToServers => json!(["watch", number, true]),
         Action::AddToCounter { counter, amount, ttl } => {
             json!(["bump", number, format!("{:x}", counter.0), amount, ttl])
         }
--- a/src/api.rs
+++ b/src/api.rs
@@ -475,7 +475,7 @@
         data: Vec<u8>,
     },
     /// Subscribe to the list of servers.
-    Watch,
+    SubscribeToServers,
     /// Add to a number of the shared counter.
     AddToCounter {
         /// The number.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -104,12 +104,12 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
             if self.settings.capabilities.must_subscribe {
-                out.push(Action::Watch);
+                out.push(Action::SubscribeToServers);
             }
             self.keep_house(now, out);
         }
         match event {
-            Event::Servers { kind: ListKind::Failed, .. } => out.push(Action::Watch),
+            Event::Servers { kind: ListKind::Failed, .. } => out.push(Action::SubscribeToServers),
             Event::Servers { kind, entries } => self.servers.update(now, kind, entries, &mut self.random),
             Event::Request {
                 id,
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -32,7 +32,7 @@
 fn a_failed_list_keeps_the_old_one_and_asks_again() {
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let actions = rig.event(Event::Servers { kind: ListKind::Failed, entries: vec![] });
-    assert_eq!(actions, [Action::Watch]);
+    assert_eq!(actions, [Action::SubscribeToServers]);
     assert!(sent(&rig.request(0, 1, S).1).is_some());
 }
 
