--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -104,13 +104,13 @@
         for action in std::mem::take(&mut self.out) {
             match action {
                 Action::Timer { at, timer } => self.timers.push(Reverse((at, timer))),
-                Action::Send { id, server, .. } => self.event(Event::Outcome {
+                Action::Send { id, server, .. } => self.event(Event::AttemptEnded {
                     id,
                     attempt: 0,
                     server,
                     status: Status::Ok,
                     elapsed: 60_000,
-                    closed: true,
+                    request_finished: true,
                     usage: Some(0.6),
                     settled_units: None,
                     load: Some(Load { inflight: Some(3.0), ..Load::default() }),
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -244,7 +244,7 @@
                 let id = RequestId(call_id);
                 let serves = status == Status::Ok;
                 let call = self.calls.get_mut(&call_id);
-                let closed = call.is_none() || serves;
+                let request_finished = call.is_none() || serves;
                 if let Some(call) = call {
                     call.last_status = Some(status);
                     if serves {
@@ -256,13 +256,13 @@
                 self.library.gate.ended(now, server, status, took, load);
                 self.report_zone_changes(out);
                 let settled = None;
-                let event = Event::Outcome {
+                let event = Event::AttemptEnded {
                     id,
                     attempt,
                     server,
                     status,
                     elapsed: took,
-                    closed,
+                    request_finished,
                     usage: used,
                     settled_units: settled,
                     load,
@@ -283,7 +283,7 @@
                 self.report_zone_changes(out);
             }
             Input::CounterReplied { counter, total, unsure, took } => {
-                self.decide(now, Event::CounterReply { counter, total, unsure, elapsed: took }, out);
+                self.decide(now, Event::CounterReply { counter, total, may_have_added: unsure, elapsed: took }, out);
             }
             Input::Peer { from, data } => self.decide(now, Event::PeerMessage { from, data }, out),
         }
@@ -353,7 +353,7 @@
         self.stats.abandoned += 1;
         match call.stage {
             Stage::AwaitingVerdict => self.identity.left(call_id),
-            Stage::Submitted(_) => self.decide(now, Event::ClientGone { id: RequestId(call_id) }, out),
+            Stage::Submitted(_) => self.decide(now, Event::ClientDisconnected { id: RequestId(call_id) }, out),
         }
     }
 
@@ -449,7 +449,7 @@
         let held: Vec<u64> = self.calls.iter().filter(|(_, o)| unsent(o)).map(|(t, _)| *t).collect();
         for call_id in held {
             self.answer(call_id, GatewayAnswer::Denied(Denied::Invalid), out);
-            self.decide(now, Event::ClientGone { id: RequestId(call_id) }, out);
+            self.decide(now, Event::ClientDisconnected { id: RequestId(call_id) }, out);
         }
     }
 
@@ -468,7 +468,7 @@
                         out.push(Command::Send { call_id: id.0, attempt, server, timeout, grant });
                     }
                     Action::Reject { id, retry_after, reason: why } => {
-                        let advice = self.library.gate.zones.as_ref().filter(|_| why == RejectReason::Zone);
+                        let advice = self.library.gate.zones.as_ref().filter(|_| why == RejectReason::ZoneClosed);
                         let retry_after = advice.map_or(retry_after, |z| z.advice(jitter(id.0)));
                         self.answer(id.0, GatewayAnswer::Rejected { why, retry_after }, out);
                     }
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -17,12 +17,12 @@
 }
 
 impl Gate for ZoneGate {
-    fn open(&mut self, now: Micros, attempting: &PendingAttempt) -> u64 {
+    fn open_zones(&mut self, now: Micros, attempting: &PendingAttempt) -> u64 {
         let ask = Ask { safe: attempting.idempotent, worth: attempting.priority_weight };
         self.zones.as_mut().map_or(u64::MAX, |zones| zones.open(now, ask))
     }
 
-    fn sent(&mut self, now: Micros, _: RequestId, zone: u32) {
+    fn record_send(&mut self, now: Micros, _: RequestId, zone: u32) {
         if let Some(zones) = &mut self.zones {
             zones.sent(now, zone);
         }
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -53,7 +53,7 @@
         RejectReason::Ceiling,
         RejectReason::Overloaded,
         RejectReason::NoServer,
-        RejectReason::Zone,
+        RejectReason::ZoneClosed,
         RejectReason::NotServed,
         RejectReason::DeadlineExceeded,
         RejectReason::InvalidRequest,
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -15,9 +15,9 @@
     let event = match name {
         "targets" => servers(instance, fields)?,
         "demand" => request(instance, fields)?,
-        "established" => Event::Started { id: instance.known_request_id(fields.text(0, "call")?)? },
+        "established" => Event::AnswerStarted { id: instance.known_request_id(fields.text(0, "call")?)? },
         "finished" => outcome(instance, fields)?,
-        "gone" => Event::ClientGone { id: instance.request_id(fields.text(0, "call")?) },
+        "gone" => Event::ClientDisconnected { id: instance.request_id(fields.text(0, "call")?) },
         "due" => timer(fields)?,
         "checkResult" => Event::ProbeResult {
             server: server(instance, fields, 1)?,
@@ -78,13 +78,13 @@
 }
 
 fn outcome(instance: &mut Instance, fields: Fields) -> Result<Event, FieldError> {
-    Ok(Event::Outcome {
+    Ok(Event::AttemptEnded {
         id: instance.request_id(fields.text(0, "call")?),
         attempt: fields.whole(1, "hop")? as u32,
         server: server(instance, fields, 2)?,
         status: status(fields, 3)?,
         elapsed: fields.whole(4, "costTimeUs")?,
-        closed: fields.flag(5),
+        request_finished: fields.flag(5),
         usage: usage(fields.whole(6, "usage")?),
         settled_units: fields.get(7).and_then(Value::as_f64).filter(|units| *units > 0.0),
         load: load(instance, fields.get(8)),
@@ -113,7 +113,7 @@
     Ok(Event::CounterReply {
         counter: CounterId(counter.map_err(|_| FieldError("entryName"))?),
         total: if status == "OK" { Some(fields.number(2, "total")?) } else { None },
-        unsure: status == "DEADLINE_EXCEEDED",
+        may_have_added: status == "DEADLINE_EXCEEDED",
         elapsed: fields.whole(3, "costTimeUs")?,
     })
 }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -118,8 +118,8 @@
     /// `internalError`.
     pub fn play(&mut self, now: Micros, number: u64, event: Event, out: &mut Vec<Value>) {
         let (ended, finished) = match &event {
-            Event::Outcome { id, closed, .. } => (Some(*id), closed.then_some(*id)),
-            Event::ClientGone { id } => (None, Some(*id)),
+            Event::AttemptEnded { id, request_finished, .. } => (Some(*id), request_finished.then_some(*id)),
+            Event::ClientDisconnected { id } => (None, Some(*id)),
             _ => (None, None),
         };
         let mut actions: Vec<Action> = Vec::new();
--- a/src/api.rs
+++ b/src/api.rs
@@ -307,12 +307,12 @@
         is_retry: bool,
     },
     /// A streamed answer has begun.
-    Started {
+    AnswerStarted {
         /// The request.
         id: RequestId,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Number of the attempt, from 0 in the order of sending.
@@ -324,7 +324,7 @@
         /// Time since it was sent, µs.
         elapsed: Micros,
         /// The request is finished with it.
-        closed: bool,
+        request_finished: bool,
         /// The customer's usage over all gateways in the last usage period, as a share of its quota.
         usage: Option<f64>,
         /// The units that the request really used, where they are settled afterwards.
@@ -333,7 +333,7 @@
         load: Option<Load>,
     },
     /// The client disconnected: its request is finished.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
@@ -365,7 +365,7 @@
         /// The total after the call, or `None` if it was rejected or not answered.
         total: Option<f64>,
         /// The call was not answered; the amount may have been added.
-        unsure: bool,
+        may_have_added: bool,
         /// Time since the call, µs.
         elapsed: Micros,
     },
@@ -385,9 +385,9 @@
 /// Restricts the zones that an attempt may go to, before a server is chosen. [`OpenGate`] restricts none.
 pub trait Gate {
     /// The zones that are open to an attempt, one bit each; zones from 64 on are always open.
-    fn open(&mut self, now: Micros, attempt: &PendingAttempt) -> u64;
+    fn open_zones(&mut self, now: Micros, attempt: &PendingAttempt) -> u64;
     /// An attempt is sent to a server of this zone.
-    fn sent(&mut self, now: Micros, id: RequestId, zone: u32);
+    fn record_send(&mut self, now: Micros, id: RequestId, zone: u32);
 }
 
 /// A gate that leaves every zone open.
@@ -395,10 +395,10 @@
 pub struct OpenGate;
 
 impl Gate for OpenGate {
-    fn open(&mut self, _: Micros, _: &PendingAttempt) -> u64 {
+    fn open_zones(&mut self, _: Micros, _: &PendingAttempt) -> u64 {
         u64::MAX
     }
-    fn sent(&mut self, _: Micros, _: RequestId, _: u32) {}
+    fn record_send(&mut self, _: Micros, _: RequestId, _: u32) {}
 }
 
 /// Why a request was rejected.
@@ -413,7 +413,7 @@
     /// No server may be sent it now.
     NoServer,
     /// The zones that have servers for it are closed to it.
-    Zone,
+    ZoneClosed,
     /// Its attempts did not serve it, and no retry is allowed.
     NotServed,
     /// Its deadline has passed.
--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -14,7 +14,7 @@
     pub status: Status,
     pub elapsed: Micros,
     /// The request is finished with it.
-    pub closed: bool,
+    pub request_finished: bool,
 }
 
 impl AttemptEnd {
@@ -76,7 +76,7 @@
         let criteria = Criteria {
             request,
             effect: class.effect,
-            open_zones: self.gate.open(now, &pending),
+            open_zones: self.gate.open_zones(now, &pending),
             is_retry: !request.attempts.is_empty(),
             max_usual_us: TARGET_LATENCY * class.latency_objective as f64,
         };
@@ -108,7 +108,7 @@
         let server_load = server.load.expected(now);
         server.load.record_send();
         server.slow_start.spend();
-        self.gate.sent(now, id, server.entry.zone);
+        self.gate.record_send(now, id, server.entry.zone);
         self.admission.record_send(now, id, request.attempts.len() as u32);
         let attempt = Attempt { server: to, sent_at: now, in_flight: true, may_have_run: false, server_load };
         request.attempts.push(attempt);
@@ -186,7 +186,7 @@
         if end.status == Status::Ok {
             self.balancer.record_contact(id_of_server);
         }
-        if end.closed || finished {
+        if end.request_finished || finished {
             return self.close(id);
         }
         if let Err(reason) = self.attempt(now, id, out) {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -96,7 +96,7 @@
     }
 
     /// Number of customers whose state is kept.
-    pub fn customers(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
@@ -126,24 +126,24 @@
                     Arrival { class, plan, customer, timeout, units, subset_size, subset_start, is_retry };
                 self.handle_request(now, id, &arrival, out);
             }
-            Event::Started { id } => {
+            Event::AnswerStarted { id } => {
                 self.requests.entry(id).and_modify(|request| request.started = true);
             }
-            Event::Outcome { id, attempt, server, status, elapsed, closed, usage, settled_units, load } => {
+            Event::AttemptEnded { id, attempt, server, status, elapsed, request_finished, usage, settled_units, load } => {
                 self.handle_load(now, server, load);
                 self.handle_usage(now, id, usage, settled_units);
-                self.end_attempt(now, id, attempt, &AttemptEnd { status, elapsed, closed }, out);
+                self.end_attempt(now, id, attempt, &AttemptEnd { status, elapsed, request_finished }, out);
             }
-            Event::ClientGone { id } => self.close(id),
+            Event::ClientDisconnected { id } => self.close(id),
             Event::Timer { timer: HOUSEKEEPING } => self.keep_house(now, out),
             Event::Timer { timer } => self.handle_timer(now, timer, out),
             Event::ProbeResult { server, load, .. } => self.handle_load(now, server, load),
             Event::PeerMessage { from, data } => self.receive_peer_message(now, from, &data),
-            Event::CounterReply { counter, total, unsure, elapsed } => {
+            Event::CounterReply { counter, total, may_have_added, elapsed } => {
                 self.handle_counter_reply(
                     now,
                     CustomerId(counter.0),
-                    &CounterReply { total, unsure, elapsed },
+                    &CounterReply { total, may_have_added, elapsed },
                     out,
                 );
             }
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -141,7 +141,7 @@
     /// Chooses the best server for the next attempt of a request.
     ///
     /// # Errors
-    /// [`RejectReason::Zone`] if a closed zone was passed over, else [`RejectReason::NoServer`], where none
+    /// [`RejectReason::ZoneClosed`] if a closed zone was passed over, else [`RejectReason::NoServer`], where none
     /// may be sent the request.
     pub fn choose(
         &self,
@@ -168,7 +168,7 @@
         for index in candidates.into_iter().chain(0..ready.len()) {
             let server = servers.ready_server(ready[index]);
             if !comparison.is_zone_open(server) {
-                none = RejectReason::Zone;
+                none = RejectReason::ZoneClosed;
                 continue;
             }
             if !comparison.is_eligible(server, &self.backend_limits) {
--- a/src/shared_counter.rs
+++ b/src/shared_counter.rs
@@ -40,7 +40,7 @@
 pub(crate) struct CounterReply {
     pub total: Option<f64>,
     /// The call was not answered; the amount may have been added.
-    pub unsure: bool,
+    pub may_have_added: bool,
     pub elapsed: Micros,
 }
 
@@ -204,7 +204,7 @@
             self.last_reply = now;
             customer.quota.refill(now, 0.0, UsageSource::Exact);
             read_total(now, id, customer, total, added, roll, out);
-        } else if !reply.unsure {
+        } else if !reply.may_have_added {
             count.uncounted += added;
             count.correction = corrected;
         }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -30,7 +30,7 @@
 fn a_client_that_left_gets_nothing() {
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let (id, _) = rig.request(0, 5, 300 * MS);
-    rig.event(Event::ClientGone { id });
+    rig.event(Event::ClientDisconnected { id });
     let done = rig.run_to(3 * S);
     assert!(done.is_empty(), "{done:?}");
     assert!(rig.outcome(id, 0, ServerId(1), Status::Error).is_empty());
@@ -42,7 +42,7 @@
     s.classes[0].stream = true;
     let mut rig = Rig::new(s, &[entry(1, 0)]);
     let (id, _) = rig.request(0, 5, 300 * MS);
-    rig.event(Event::Started { id });
+    rig.event(Event::AnswerStarted { id });
     assert!(rig.run_to(3 * S).is_empty());
 }
 
@@ -51,7 +51,7 @@
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let unknown = RequestId(99);
     assert!(rig.outcome(unknown, 7, ServerId(1), Status::Ok).is_empty());
-    assert!(rig.event(Event::ClientGone { id: unknown }).is_empty());
+    assert!(rig.event(Event::ClientDisconnected { id: unknown }).is_empty());
     assert!(rig.event(Event::Timer { timer: TimerId(12345) }).is_empty());
     let load =
         Load { inflight: Some(f64::NAN), queue: Some(-1e300), util: None, latency_ms: Some(f64::INFINITY) };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -145,13 +145,13 @@
         status: Status,
         elapsed: Micros,
     ) -> Vec<Action> {
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             id,
             attempt,
             server,
             status,
             elapsed,
-            closed: status == Status::Ok,
+            request_finished: status == Status::Ok,
             usage: None,
             settled_units: None,
             load: None,
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -22,7 +22,7 @@
 
 fn reply(rig: &mut Rig, counter: CounterId, total: Option<f64>) -> Vec<Action> {
     rig.now += 2 * MS;
-    rig.event(Event::CounterReply { counter, total, unsure: total.is_none(), elapsed: 2 * MS })
+    rig.event(Event::CounterReply { counter, total, may_have_added: total.is_none(), elapsed: 2 * MS })
 }
 
 /// Where the total stands when the store is full: the rate times the clock.
@@ -103,7 +103,7 @@
         rig.outcome(id, 0, server, Status::Ok);
         if let Some((counter, _)) = asked {
             calls += 1;
-            rig.event(Event::CounterReply { counter, total: None, unsure: true, elapsed: 80 * MS });
+            rig.event(Event::CounterReply { counter, total: None, may_have_added: true, elapsed: 80 * MS });
         }
     }
     assert!((5..=40).contains(&calls), "{calls}");
@@ -226,7 +226,7 @@
     let (_, actions) = rig.request(0, 5, 2 * S);
     let (counter, _) = call(&actions).expect("a call");
     let (_, amount) = call(&reply(&mut rig, counter, Some(1.0))).expect("a correction");
-    rig.event(Event::CounterReply { counter, total: None, unsure: false, elapsed: 2 * MS });
+    rig.event(Event::CounterReply { counter, total: None, may_have_added: false, elapsed: 2 * MS });
     let later: Vec<_> = rig.run_to(rig.now + 300 * MS).into_iter().map(|d| d.1).collect();
     let (_, again) = call(&later).expect("another call");
     assert!((again - amount).abs() <= 1.0, "{again} after {amount}");
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -170,13 +170,13 @@
                 let closed = r.closed || status == Status::Ok;
                 r.closed = closed;
                 let attempt = attempt as u32;
-                w.event(Event::Outcome {
+                w.event(Event::AttemptEnded {
                     id,
                     attempt,
                     server,
                     status,
                     elapsed,
-                    closed,
+                    request_finished: closed,
                     usage: None,
                     settled_units: None,
                     load: None,
@@ -186,7 +186,7 @@
                 let open: Vec<_> = w.seen.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
                 let Some(id) = (!open.is_empty()).then(|| open[pick % open.len()]) else { continue };
                 w.seen.get_mut(&id).expect("just listed").closed = true;
-                w.event(Event::ClientGone { id });
+                w.event(Event::ClientDisconnected { id });
             }
             Step::List { server, state } => {
                 let e = ServerEntry { state, ..entry(server, (server % 2) as u32) };
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -45,13 +45,13 @@
 fn served(g: &mut Gateway, now: Micros, k: u64, server: ServerId, used: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let (id, status, elapsed) = (RequestId(k), Status::Ok, 50 * MS);
-    let end = Event::Outcome {
+    let end = Event::AttemptEnded {
         id,
         attempt: 0,
         server,
         status,
         elapsed,
-        closed: true,
+        request_finished: true,
         usage: Some(used),
         settled_units: None,
         load: Some(Load { inflight: Some(0.0), ..Load::default() }),
@@ -317,9 +317,9 @@
                 return true;
             }
             let (id, attempt, status, elapsed) = (RequestId(*id), 0, Status::Ok, 900 * MS);
-            let (server, usage, settled_units, load, closed) = (*server, None, None, None, true);
+            let (server, usage, settled_units, load, request_finished) = (*server, None, None, None, true);
             let end =
-                Event::Outcome { id, attempt, server, status, elapsed, closed, usage, settled_units, load };
+                Event::AttemptEnded { id, attempt, server, status, elapsed, request_finished, usage, settled_units, load };
             all[*me].handle(*at, end, &mut Vec::new());
             false
         });
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -86,13 +86,13 @@
         done.extend(rig.run_to(rig.now + 95 * MS).into_iter().map(|d| d.1));
         if let Some(server) = sent(&done) {
             went += 1;
-            rig.event(Event::Outcome {
+            rig.event(Event::AttemptEnded {
                 id,
                 attempt: 0,
                 server,
                 status: Status::Ok,
                 elapsed: 30 * MS,
-                closed: true,
+                request_finished: true,
                 usage: Some(0.5), // all use there is, and it is ours
                 settled_units: None,
                 load: None,
@@ -135,7 +135,7 @@
         }
     }
     // Their stores are full again within some seconds; those seen before that are gone already.
-    assert!(rig.gateway.customers() < 10_000, "{}", rig.gateway.customers());
+    assert!(rig.gateway.customer_count() < 10_000, "{}", rig.gateway.customer_count());
     rig.run_to(rig.now + 10 * S);
-    assert_eq!(rig.gateway.customers(), 0);
+    assert_eq!(rig.gateway.customer_count(), 0);
 }
