--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,15 +1,17 @@
-//! Time of one request's decisions: its arrival, its outcome, and the timers that fall due meanwhile.
+//! Duration of the decisions on one request: its arrival, the end of its attempt, and the timers that expire
+//! in between.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use frostgauge::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
+/// Number of gateways, of which one is run.
 const GATEWAYS: usize = 400;
 const CUSTOMERS: u64 = 300;
-/// Between two requests at one gateway, microseconds: 1,500 a second over 400 gateways would be 267,000; a
-/// busy one gets many times that.
-const GAP: Micros = 5_000;
+/// Time between two requests at the gateway, µs. With 1,500 requests a second over 400 gateways it would be
+/// 267,000 on average, but a busy gateway receives many times the average.
+const REQUEST_INTERVAL: Micros = 5_000;
 
 fn settings() -> Settings {
     let class = |priority_weight, effect| Class {
@@ -52,19 +54,20 @@
     }
 }
 
+/// A host that runs one gateway and answers each attempt at once.
 struct Host {
     gateway: Gateway,
     now: Micros,
-    next: u64,
+    last_request_id: u64,
     timers: BinaryHeap<Reverse<(Micros, TimerId)>>,
     out: Vec<Action>,
 }
 
 impl Host {
-    fn new(nodes: u64) -> Host {
+    fn new(server_count: u64) -> Host {
         let now = 1_000_000_000;
-        let gateway = Gateway::new(settings(), 3, now).expect("sound settings");
-        let mut host = Host { gateway, now, next: 0, timers: BinaryHeap::new(), out: vec![] };
+        let gateway = Gateway::new(settings(), 3, now).expect("the settings are in range");
+        let mut host = Host { gateway, now, last_request_id: 0, timers: BinaryHeap::new(), out: vec![] };
         let entry = |k: u64| ServerEntry {
             server: ServerId(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             state: ServerState::Ready,
@@ -73,26 +76,26 @@
             zone: (k % 3) as u32,
             cell: 0,
         };
-        host.event(Event::Servers { kind: ListKind::Full, entries: (0..nodes).map(entry).collect() });
+        host.handle(Event::Servers { kind: ListKind::Full, entries: (0..server_count).map(entry).collect() });
         host
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.gateway.handle(self.now, event, &mut self.out);
     }
 
-    /// One request from arrival to answer; the gateway's other work falls due in between.
-    fn request(&mut self) {
-        self.now += GAP;
+    /// Runs one request from arrival to answer, after the timers that have expired by then.
+    fn run_request(&mut self) {
+        self.now += REQUEST_INTERVAL;
         while let Some(Reverse((at, timer))) = self.timers.peek().copied().filter(|t| t.0 .0 <= self.now) {
             self.timers.pop();
             self.gateway.handle(at.max(self.now), Event::Timer { timer }, &mut self.out);
         }
-        self.next += 1;
-        let customer = self.next.wrapping_mul(0xbf58_476d_1ce4_e5b9) % CUSTOMERS;
-        self.event(Event::Request {
-            id: RequestId(self.next),
-            class: (self.next % 2) as usize,
+        self.last_request_id += 1;
+        let customer = self.last_request_id.wrapping_mul(0xbf58_476d_1ce4_e5b9) % CUSTOMERS;
+        self.handle(Event::Request {
+            id: RequestId(self.last_request_id),
+            class: (self.last_request_id % 2) as usize,
             plan: (customer % 2) as usize,
             customer: CustomerId(customer),
             timeout: 2_000_000,
@@ -104,7 +107,7 @@
         for action in std::mem::take(&mut self.out) {
             match action {
                 Action::Timer { at, timer } => self.timers.push(Reverse((at, timer))),
-                Action::Send { id, server, .. } => self.event(Event::AttemptEnded {
+                Action::Send { id, server, .. } => self.handle(Event::AttemptEnded {
                     id,
                     attempt: 0,
                     server,
@@ -121,15 +124,17 @@
     }
 }
 
-fn decision(c: &mut Criterion) {
-    let mut group = c.benchmark_group("request at 400 gateways");
-    for nodes in [14, 86, 400] {
-        let mut host = Host::new(nodes);
-        (0..5_000).for_each(|_| host.request());
-        group.bench_function(BenchmarkId::new("nodes", nodes), |b| b.iter(|| host.request()));
+fn bench_decision(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("request at 400 gateways");
+    for server_count in [14, 86, 400] {
+        let mut host = Host::new(server_count);
+        (0..5_000).for_each(|_| host.run_request());
+        group.bench_function(BenchmarkId::new("nodes", server_count), |bencher| {
+            bencher.iter(|| host.run_request())
+        });
     }
     group.finish();
 }
 
-criterion_group!(benches, decision);
+criterion_group!(benches, bench_decision);
 criterion_main!(benches);
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -12,7 +12,7 @@
 use crate::reply::{Failed, GatewayAnswer};
 use crate::timers::Timers;
 use crate::zone_gate::ZoneGate;
-use frostgauge::{Action, ServerEntry, Event, Gateway, ListKind, RejectReason, RequestId, ServerId, Status};
+use frostgauge::{Action, Event, Gateway, ListKind, RejectReason, RequestId, ServerEntry, ServerId, Status};
 use frostgauge_identity::{Grant, Identity, Outcome, Step, TokenName};
 use frostgauge_proto::bearer::Denied;
 use frostgauge_settings::{Loaded, Tenant};
@@ -283,7 +283,11 @@
                 self.report_zone_changes(out);
             }
             Input::CounterReplied { counter, total, unsure, took } => {
-                self.decide(now, Event::CounterReply { counter, total, may_have_added: unsure, elapsed: took }, out);
+                self.decide(
+                    now,
+                    Event::CounterReply { counter, total, may_have_added: unsure, elapsed: took },
+                    out,
+                );
             }
             Input::Peer { from, data } => self.decide(now, Event::PeerMessage { from, data }, out),
         }
@@ -353,7 +357,9 @@
         self.stats.abandoned += 1;
         match call.stage {
             Stage::AwaitingVerdict => self.identity.left(call_id),
-            Stage::Submitted(_) => self.decide(now, Event::ClientDisconnected { id: RequestId(call_id) }, out),
+            Stage::Submitted(_) => {
+                self.decide(now, Event::ClientDisconnected { id: RequestId(call_id) }, out)
+            }
         }
     }
 
@@ -468,7 +474,8 @@
                         out.push(Command::Send { call_id: id.0, attempt, server, timeout, grant });
                     }
                     Action::Reject { id, retry_after, reason: why } => {
-                        let advice = self.library.gate.zones.as_ref().filter(|_| why == RejectReason::ZoneClosed);
+                        let advice =
+                            self.library.gate.zones.as_ref().filter(|_| why == RejectReason::ZoneClosed);
                         let retry_after = advice.map_or(retry_after, |z| z.advice(jitter(id.0)));
                         self.answer(id.0, GatewayAnswer::Rejected { why, retry_after }, out);
                     }
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -75,7 +75,9 @@
         RejectReason::Ceiling => ("ceiling", 429, "The insurer's hard ceiling is reached"),
         RejectReason::Overloaded => ("pressed", 503, "The claims nodes have no room for this request now"),
         RejectReason::NoServer => ("no-node", 503, "No claims node can take this request now"),
-        RejectReason::ZoneClosed => ("zone", 503, "The zones that could take this request are closed to it now"),
+        RejectReason::ZoneClosed => {
+            ("zone", 503, "The zones that could take this request are closed to it now")
+        }
         RejectReason::NotServed => {
             ("not-served", 503, "Attempts did not serve this request, and none of them took effect")
         }
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -58,7 +58,10 @@
                 assert!(
                     matches!(
                         answer,
-                        Some(Some(GatewayAnswer::Rejected { why: RejectReason::ZoneClosed, retry_after: 1.. }))
+                        Some(Some(GatewayAnswer::Rejected {
+                            why: RejectReason::ZoneClosed,
+                            retry_after: 1..
+                        }))
                     ),
                     "{answer:?}"
                 );
--- a/crates/platform-gateway/src/host.rs
+++ b/crates/platform-gateway/src/host.rs
@@ -140,7 +140,9 @@
     /// Until when a request of this class may be sent again if an attempt at it may have run.
     fn repeat_by(&self, class: usize, ran: Option<Micros>) -> Option<Instant> {
         let site = &self.handle.shared.site;
-        let Effect::Deduplicated { window, .. } = site.settings.classes.get(class)?.effect else { return None };
+        let Effect::Deduplicated { window, .. } = site.settings.classes.get(class)?.effect else {
+            return None;
+        };
         Some(self.handle.clock.instant(ran?.saturating_add(window)))
     }
 }
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,7 +1,9 @@
 //! The settings object of the simulator's first message and of the platform's configuration file, read into the decision
 //! library's settings and those of sockets. Unknown keys are ignored.
 
-use frostgauge::{Capabilities, Class, Effect, DedupScope, Load, Micros, Plan, LoadReports, BackendLimits, Settings};
+use frostgauge::{
+    BackendLimits, Capabilities, Class, DedupScope, Effect, Load, LoadReports, Micros, Plan, Settings,
+};
 use serde_json::Value;
 
 /// A setting that is missing, of the wrong type or out of range.
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -4,7 +4,9 @@
 use crate::fields::Fields;
 use crate::instance::{hash, Instance};
 use base64::{prelude::BASE64_STANDARD, Engine};
-use frostgauge::{CounterId, CustomerId, ServerEntry, Event, ListKind, Load, ServerId, ServerState, Status, TimerId};
+use frostgauge::{
+    CounterId, CustomerId, Event, ListKind, Load, ServerEntry, ServerId, ServerState, Status, TimerId,
+};
 use serde_json::Value;
 
 /// Bit of a request's flags: the client marked it as a retry.
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! The public interface: settings and events in, actions out. Types only; no decision is made here.
+//! Public types: the settings, the events that the host hands in and the actions that it gets back.
 
 /// A point in time or a duration, in microseconds on the clock of the host that drives the gateway.
 pub type Micros = u64;
@@ -11,32 +11,32 @@
     };
 }
 
-id!(/** A client request, numbered by the gateway's host, below 2^63. Never reused. */ RequestId(u64));
-id!(/** A server; every gateway must use the same number for the same server. */ ServerId(u64));
-id!(/** A customer; every gateway must use the same number for the same customer. */ CustomerId(u64));
-id!(/** A timer, returned to the gateway as it was set. */ TimerId(u64));
-id!(/** The name of a number kept by the shared counter, the same at every gateway. */ CounterId(u64));
+id!(/** Id of a client request, assigned by the host; below 2^63 and never reused. */ RequestId(u64));
+id!(/** Id of a server; every gateway must use the same id for the same server. */ ServerId(u64));
+id!(/** Id of a customer; every gateway must use the same id for the same customer. */ CustomerId(u64));
+id!(/** Id of a timer, chosen by the gateway; the host hands it back in [`Event::Timer`]. */ TimerId(u64));
+id!(/** Key of a value at the shared counter, the same at every gateway. */ CounterId(u64));
 
 /// Whether a class of request may be attempted again once an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: running twice does no harm.
+    /// Running the request twice does no harm.
     Idempotent,
-    /// Servers of one group deduplicate the request by its key for a while.
+    /// Servers that share their idempotency keys run a request with the same key once within a time window.
     Deduplicated {
-        /// The servers that share the keys they have seen.
+        /// Which servers share their keys.
         scope: DedupScope,
-        /// How long they remember a key, in µs from the send of the first attempt that may have run.
+        /// How long they remember a key, µs from the send of the first attempt that may have run.
         window: Micros,
     },
-    /// Not idempotent: must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// Which servers share the deduplication keys of a request.
+/// Which servers share the idempotency keys by which they deduplicate requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every server.
+    /// All servers of the back end.
     All,
     /// The servers of one zone.
     Zone,
@@ -47,127 +47,130 @@
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Latency objective, µs: an answer within it counts in full.
+    /// Latency objective, µs. An answer within it keeps the whole priority weight of its request.
     pub latency_objective: Micros,
-    /// How long a client waits in all, over all its retries, µs.
+    /// How long a client waits for an answer in total, over all its retries of a request, µs.
     pub deadline: Micros,
-    /// Share of the priority weight that an answer after the objective keeps.
+    /// Share of the priority weight that an answer after the latency objective keeps.
     pub late_weight_share: f64,
-    /// Priority weight of one request.
+    /// Priority weight of one request: under overload, requests of low weight are rejected first.
     pub priority_weight: f64,
-    /// Whether it may run again.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// Whether answers stream.
+    /// Whether answers are streamed; no decision depends on it.
     pub stream: bool,
 }
 
-/// A plan; its limits hold for each customer, over all gateways together.
+/// A customer plan. Its limits apply to each of its customers separately, over all gateways together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Quota, units per second; 0 means no quota.
+    /// Quota: units per second that refill its token bucket; 0 means no quota.
     pub rate: f64,
     /// Capacity of the quota's token bucket, units.
     pub burst: f64,
-    /// Maximum number of requests in flight; 0 means no limit.
+    /// Maximum number of a customer's requests in flight; 0 means no limit.
     pub max_in_flight: u32,
-    /// Factor on the class's priority weight.
+    /// Factor on the priority weight of a request's class.
     pub weight_factor: f64,
     /// Share of its priority weight that a request served beyond the quota keeps.
     pub over_quota_weight_share: f64,
-    /// Share of its priority weight that a request served beyond the quota costs.
+    /// Cost of serving a request beyond the quota, as a share of its priority weight. Such requests are
+    /// served only in plans where this is below `over_quota_weight_share`.
     pub over_quota_cost_share: f64,
-    /// Units per second that refill the hard ceiling; 0 means no ceiling.
+    /// Units per second that refill the token bucket of the hard ceiling; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// Capacity of the ceiling's token bucket, units.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling may be overdrawn.
+    /// Units that the ceiling's token bucket holds beyond `ceiling_burst`.
     pub ceiling_slack: f64,
 }
 
-/// How load reports reach the gateway.
+/// How the servers' load reports reach the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReports {
-    /// With answers and probes.
+    /// With answers and with the results of probes.
     Answers,
-    /// With probes only.
+    /// With the results of probes only.
     Probe,
-    /// Not at all.
+    /// Servers report no load.
     #[default]
     None,
 }
 
-/// What the deployment lets a gateway do, and the costs that bear on a decision.
+/// What the deployment allows a gateway to do, and what its messages, probes and counter calls cost.
 #[derive(Clone, Debug, Default)]
 pub struct Capabilities {
     /// Servers may be probed.
     pub probes: bool,
-    /// Messages to other gateways are allowed.
+    /// Messages to other gateways, its peers, are allowed.
     pub peers: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// A request may have two attempts in flight at once.
+    /// A request may have two attempts in flight at once; the gateway makes no use of it.
     pub hedged_requests: bool,
-    /// Rejected clients are advised how long to wait before a retry.
+    /// Rejections advise the client how long to wait before a retry.
     pub retry_after: bool,
-    /// The longest wait that clients heed, µs.
+    /// Maximum of that advice, µs.
     pub max_retry_after: Micros,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Messages per second that a gateway accepts from its peers.
     pub peer_messages_per_s: f64,
-    /// Share of the score that one full peer message per request costs.
+    /// Cost of one full peer message per request, as a share of the score by which the deployment is rated;
+    /// no decision depends on it.
     pub peer_message_cost: f64,
-    /// Share of the score that one probe per request costs.
+    /// Cost of one probe per request, as the same share; no decision depends on it.
     pub probe_cost: f64,
     /// The shared counter may be called.
     pub shared_counter: bool,
-    /// Share of the score that one counter call per request costs.
+    /// Cost of one counter call per request, as the same share; no decision depends on it.
     pub counter_call_cost: f64,
     /// Timeout of a counter call, µs; 0 means none.
     pub counter_call_timeout: Micros,
-    /// Clients mark their retries.
+    /// Clients mark their retries, see `is_retry` in [`Event::Request`].
     pub clients_mark_retries: bool,
-    /// Period of the customer's usage reported with answers, µs; 0 means that none is reported.
+    /// Period covered by the usage reports that come with answers, µs; 0 means that usage is not reported.
     pub usage_period: Micros,
-    /// The units named in a request are estimates, settled by the first good answer.
+    /// The units of a request are an estimate, corrected by `settled_units` of [`Event::AttemptEnded`].
     pub settles_units: bool,
-    /// How load reports arrive.
+    /// How the servers' load reports reach the gateway.
     pub load_reports: LoadReports,
-    /// The gateway must subscribe to the list of servers.
+    /// The gateway must subscribe to the list of servers when it starts.
     pub must_subscribe: bool,
 }
 
 /// Limits that the back end sets.
 #[derive(Clone, Debug, Default)]
 pub struct BackendLimits {
-    /// A final answer still counts this long after the client's deadline, µs.
+    /// How long after the client's deadline a final answer still counts, µs; no decision depends on it.
     pub answer_slack: Micros,
-    /// Share of its capacity that a server has at least when it starts.
+    /// Minimum capacity of a server that has just become ready, as a share of its full capacity.
     pub slow_start_share: f64,
-    /// A server has its full capacity after this time, µs.
+    /// Time from becoming ready until a server has its full capacity, µs; 0 means that it has it at once.
     pub slow_start_time: Micros,
-    /// A server that is warming up collapses when sent more than this multiple of its capacity...
+    /// A server that is warming up collapses when it is sent more than this multiple of its present capacity
+    /// for `collapse_time`.
     pub collapse_multiple: f64,
-    /// ...for this long, µs.
+    /// How long such an overload lasts until the server collapses, µs.
     pub collapse_time: Micros,
 }
 
 /// Settings of one gateway, fixed for its lifetime.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// This gateway's number, from 0.
+    /// Index of this gateway, from 0 to `gateways` - 1.
     pub gateway_id: usize,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: usize,
-    /// The zone this gateway is in.
+    /// Index of the zone that this gateway is in.
     pub zone: u32,
-    /// Shortest time between two batches of events, µs.
+    /// Shortest time between two batches of events that the host hands in, µs.
     pub tick: Micros,
-    /// Request classes.
+    /// Request classes, which requests name by index.
     pub classes: Vec<Class>,
-    /// Plans.
+    /// Customer plans, which requests name by index; 256 at most.
     pub plans: Vec<Plan>,
-    /// What the gateway may do.
+    /// What the deployment allows the gateway to do.
     pub capabilities: Capabilities,
     /// Limits that the back end sets.
     pub backend_limits: BackendLimits,
@@ -176,9 +179,9 @@
 /// A setting that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting, as a path of names in the settings that operators write.
+    /// Path of the setting in the settings that operators write, such as `plans[0].rate`.
     pub field: String,
-    /// What is wrong with it.
+    /// How its value breaks the allowed range; completes a sentence that begins with the path.
     pub reason: &'static str,
 }
 
@@ -195,9 +198,9 @@
 pub enum ServerState {
     /// Accepts requests.
     Ready,
-    /// Finishes the requests it holds, accepts no new ones.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// Removed.
+    /// No longer in the list.
     #[default]
     Removed,
 }
@@ -207,15 +210,15 @@
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Its state.
+    /// Whether it accepts requests.
     pub state: ServerState,
     /// When it last became ready, µs; 0 means long ago.
     pub ready_at: Micros,
-    /// Its size relative to other servers'.
+    /// Its size relative to other servers; no decision depends on it.
     pub size: f64,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// Its cell.
+    /// Index of its cell, see [`DedupScope::Cell`].
     pub cell: u32,
 }
 
@@ -224,34 +227,34 @@
 pub enum ListKind {
     /// The complete list.
     Full,
-    /// The complete list as last known, perhaps outdated.
+    /// The complete list as last known; it may be outdated.
     Cached,
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// The call failed; the known list stays valid.
+    /// The list could not be fetched: the gateway keeps the list it has and subscribes again.
     Failed,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The server served the request.
     Ok,
     /// The server answered with an error.
     Error,
-    /// The server rejected the request without running it: it is full.
+    /// The server is full and rejected the request without running it.
     Rejected,
-    /// No answer in time.
+    /// There was no answer within the attempt's timeout.
     Timeout,
-    /// No connection in time.
+    /// No connection was established in time.
     ConnectFailed,
-    /// The connection broke before the whole request was written: it never ran.
+    /// The connection broke before the whole request was written, so the request did not run.
     WriteFailed,
     /// The connection broke after the request was written.
     Reset,
-    /// Cancelled by this gateway.
+    /// This gateway cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The host did not send the attempt.
     NotSent,
 }
 
@@ -262,12 +265,12 @@
     }
 }
 
-/// A server's load report; what it does not report is `None`.
+/// A server's load report; `None` for a figure that the server does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests in flight there.
+    /// Requests in flight at the server, from all gateways.
     pub inflight: Option<f64>,
-    /// Requests queued there.
+    /// Requests queued at the server, from all gateways.
     pub queue: Option<f64>,
     /// CPU utilization, 0 to 1.
     pub util: Option<f64>,
@@ -275,7 +278,7 @@
     pub latency_ms: Option<f64>,
 }
 
-/// Input of the gateway: something that happened.
+/// Input of the gateway: an event, handed in by the host.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the server list.
@@ -285,7 +288,7 @@
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A client's request came in.
+    /// A client's request arrived.
     Request {
         /// Its id.
         id: RequestId,
@@ -293,20 +296,20 @@
         class: usize,
         /// Index into [`Settings::plans`].
         plan: usize,
-        /// Whose request it is.
+        /// The customer that sent it.
         customer: CustomerId,
         /// How long the client waits for the answer to this request, µs.
         timeout: Micros,
-        /// Quota units it uses.
+        /// Units of the customer's quota that it uses.
         units: f64,
-        /// Number of gateways in the customer's subset, which all its requests come through.
+        /// Number of gateways in the customer's subset: only these receive the customer's requests.
         subset_size: usize,
-        /// First gateway of that subset.
+        /// Index of the first gateway of that subset; the others follow in order, after the last one from 0.
         subset_start: usize,
-        /// The client marked it as a retry.
+        /// The client marked the request as a retry of an earlier one.
         is_retry: bool,
     },
-    /// A streamed answer has begun.
+    /// A streamed answer has begun: the request can no longer be retried, nor answered by the gateway.
     AnswerStarted {
         /// The request.
         id: RequestId,
@@ -315,7 +318,7 @@
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// Number of the attempt, from 0 in the order of sending.
+        /// Index of the attempt among those of the request, in the order of sending.
         attempt: u32,
         /// The server it was sent to.
         server: ServerId,
@@ -323,70 +326,70 @@
         status: Status,
         /// Time since it was sent, µs.
         elapsed: Micros,
-        /// The request is finished with it.
+        /// The request is finished: the gateway neither retries nor answers it.
         request_finished: bool,
         /// The customer's usage over all gateways in the last usage period, as a share of its quota.
         usage: Option<f64>,
-        /// The units that the request really used, where they are settled afterwards.
+        /// The units that the request used in fact, where those of [`Event::Request`] are an estimate.
         settled_units: Option<f64>,
-        /// The load report sent along.
+        /// The server's load report, if one came with the answer.
         load: Option<Load>,
     },
-    /// The client disconnected: its request is finished.
+    /// The client disconnected before the final answer, which finishes its request.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
     /// A timer expired.
     Timer {
-        /// The timer.
+        /// The id from [`Action::Timer`].
         timer: TimerId,
     },
     /// The result of a probe.
     ProbeResult {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         status: Status,
-        /// The load report sent along.
+        /// The server's load report, if one came with the result.
         load: Option<Load>,
     },
     /// A message from another gateway.
     PeerMessage {
-        /// The number of its sender.
+        /// Index of the gateway that sent it.
         from: usize,
-        /// The message.
+        /// The encoded message, as in [`Action::SendToPeer`].
         data: Vec<u8>,
     },
     /// The reply to a call of the shared counter.
     CounterReply {
-        /// The number that was added to.
+        /// Key of the value that was added to.
         counter: CounterId,
-        /// The total after the call, or `None` if it was rejected or not answered.
+        /// The value after the call, or `None` if the call was rejected or not answered.
         total: Option<f64>,
-        /// The call was not answered; the amount may have been added.
+        /// The call was not answered, so the amount may have been added.
         may_have_added: bool,
-        /// Time since the call, µs.
+        /// Time from the call to the reply, µs.
         elapsed: Micros,
     },
 }
 
-/// An attempt that is about to be made, as a gate sees it.
+/// An attempt for which a server is about to be chosen, as passed to a [`Gate`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingAttempt {
     /// The request.
     pub id: RequestId,
-    /// It may run twice without harm.
+    /// The effect of the request's class is [`Effect::Idempotent`].
     pub idempotent: bool,
-    /// Its priority weight.
+    /// Priority weight of the request: its class's, times the factor of its plan.
     pub priority_weight: f64,
 }
 
 /// Restricts the zones that an attempt may go to, before a server is chosen. [`OpenGate`] restricts none.
 pub trait Gate {
-    /// The zones that are open to an attempt, one bit each; zones from 64 on are always open.
+    /// The zones that an attempt may go to, as a bit set by zone index; zones from 64 on are always open.
     fn open_zones(&mut self, now: Micros, attempt: &PendingAttempt) -> u64;
-    /// An attempt is sent to a server of this zone.
+    /// Records that an attempt of a request is sent to a server of `zone`.
     fn record_send(&mut self, now: Micros, id: RequestId, zone: u32);
 }
 
@@ -408,13 +411,14 @@
     Quota,
     /// This gateway's share of the customer's hard ceiling is used up.
     Ceiling,
-    /// The back end has no capacity for it from this gateway, or would answer too late.
+    /// The back end has no capacity left for a request of this weight from this gateway, or it would answer
+    /// too late.
     Overloaded,
-    /// No server may be sent it now.
+    /// No server is ready and eligible for it now.
     NoServer,
-    /// The zones that have servers for it are closed to it.
+    /// No server is eligible for it in the zones that the [`Gate`] leaves open.
     ZoneClosed,
-    /// Its attempts did not serve it, and no retry is allowed.
+    /// No attempt has served it, and no further attempt is allowed.
     NotServed,
     /// Its deadline has passed.
     DeadlineExceeded,
@@ -422,7 +426,7 @@
     InvalidRequest,
 }
 
-/// Output of the gateway: something for the host to do, in the order given.
+/// Output of the gateway: an action for the host to carry out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -438,7 +442,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// How long to wait before a retry, µs; 0 gives no advice.
+        /// How long the client is advised to wait before a retry, µs; 0 gives no advice.
         retry_after: Micros,
         /// The reason, for the client and the operators.
         reason: RejectReason,
@@ -448,18 +452,18 @@
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: its answer is no longer needed.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// Index of the attempt among those of the request.
         attempt: u32,
     },
     /// Set a timer.
     Timer {
-        /// When it expires, µs.
+        /// When it expires, µs on the host's clock.
         at: Micros,
-        /// Returned to the gateway then.
+        /// The id to hand back in [`Event::Timer`] then.
         timer: TimerId,
     },
     /// Probe a server.
@@ -469,20 +473,20 @@
     },
     /// Send a message to another gateway.
     SendToPeer {
-        /// The number of the receiver.
+        /// Index of the gateway to send it to.
         to: usize,
-        /// At most 256 bytes.
+        /// The encoded message, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// Subscribe to the list of servers.
+    /// Subscribe to the list of servers, which arrives in [`Event::Servers`].
     SubscribeToServers,
-    /// Add to a number of the shared counter.
+    /// Add to a value at the shared counter.
     AddToCounter {
-        /// The number.
+        /// Key of the value.
         counter: CounterId,
-        /// The amount to add.
+        /// The amount to add, negative to subtract.
         amount: f64,
-        /// How long a new number lives, µs.
+        /// How long the counter keeps a value that this call creates, µs.
         ttl: Micros,
     },
     /// A line for the operators' log.
--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -1,25 +1,26 @@
-//! Attempts and answers: the only places that send a request and that answer its client.
+//! Attempts and final answers: all attempts are sent here, and all final answers are given here except the
+//! rejection of invalid requests.
 
 use crate::admission::TARGET_LATENCY;
 use crate::api::{
-    Action, Effect, Gate, DedupScope, Micros, PendingAttempt, RejectReason, RequestId, ServerId, Status,
+    Action, DedupScope, Effect, Gate, Micros, PendingAttempt, RejectReason, RequestId, ServerId, Status,
 };
 use crate::gateway::Gateway;
 use crate::load_balancing::{Choice, Criteria, REJECTION_BACKOFF};
 use crate::outlier_detection::AttemptResult;
 use crate::request::Attempt;
 
-/// How an attempt ended.
+/// The end of an attempt; its fields are those of [`crate::Event::AttemptEnded`].
 pub(crate) struct AttemptEnd {
     pub status: Status,
     pub elapsed: Micros,
-    /// The request is finished with it.
+    /// The request is finished: it is neither retried nor answered.
     pub request_finished: bool,
 }
 
 impl AttemptEnd {
-    /// What the end shows of the server's health; `None` if nothing.
-    fn result(&self, latency_objective: Micros) -> Option<AttemptResult> {
+    /// The result for the server's health; `None` if the end says nothing about it.
+    fn health_result(&self, latency_objective: Micros) -> Option<AttemptResult> {
         match self.status {
             Status::Ok => Some(AttemptResult::Success),
             Status::Error | Status::Reset | Status::WriteFailed => Some(AttemptResult::Failure),
@@ -33,11 +34,11 @@
 }
 
 impl<G: Gate> Gateway<G> {
-    /// Sends the next attempt of a request.
+    /// Chooses a server for the next attempt of a request and sends it.
     ///
     /// # Errors
-    /// Why no attempt may be sent now.
-    pub(crate) fn attempt(
+    /// The reason why no attempt may be sent now.
+    pub(crate) fn start_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -48,14 +49,14 @@
         self.retry_budget.check(now, request, class)?;
         let is_first = request.attempts.is_empty();
         let elapsed = now + request.waited;
-        let in_time = (request.arrived_at + class.latency_objective).saturating_sub(elapsed) as f64;
-        let max_wait = if is_first { class.latency_objective as f64 } else { in_time };
+        let until_objective = (request.arrived_at + class.latency_objective).saturating_sub(elapsed) as f64;
+        let max_wait_us = if is_first { class.latency_objective as f64 } else { until_objective };
         let share = if request.within_quota { 1.0 } else { plan.over_quota_weight_share };
         let weight = class.priority_weight * plan.weight_factor * share;
         let late_weight = weight * class.late_weight_share;
-        let Choice { server, wait } = self.choose_server(now, id)?;
-        let weight = if in_time < wait { late_weight } else { weight };
-        if wait > max_wait || self.admission.is_overloaded(now, weight, self.servers.ready().len()) {
+        let Choice { server, wait_us } = self.choose_server(now, id)?;
+        let weight = if until_objective < wait_us { late_weight } else { weight };
+        if wait_us > max_wait_us || self.admission.is_overloaded(now, weight, self.servers.ready().len()) {
             return Err(RejectReason::Overloaded);
         }
         if is_first {
@@ -83,11 +84,14 @@
         self.balancer.choose(now, &criteria, &mut self.servers, &self.outliers, &mut self.random)
     }
 
-    /// Takes a request's units from the ceiling, and from the quota if it is within that.
+    /// Takes a request's units from the customer's ceiling, and from its quota if the request is within it.
+    ///
+    /// # Errors
+    /// [`RejectReason::Ceiling`] if this gateway's share of the ceiling is used up.
     fn take_units(&mut self, now: Micros, id: RequestId) -> Result<(), RejectReason> {
         let request = self.requests.get(&id).ok_or(RejectReason::InvalidRequest)?;
         let customer = self.customers.get_mut(request.customer).ok_or(RejectReason::InvalidRequest)?;
-        if !customer.quota.take_from_ceiling(request.units) {
+        if !customer.quota.try_take_from_ceiling(request.units) {
             return Err(RejectReason::Ceiling);
         }
         if request.within_quota {
@@ -105,7 +109,7 @@
         self.send_rate.add(now, 1.0);
         self.admission.prepare_send(now);
         let Some(server) = self.servers.get_mut(to) else { return };
-        let server_load = server.load.expected(now);
+        let server_load = server.load.expected_requests(now);
         server.load.record_send();
         server.slow_start.spend();
         self.gate.record_send(now, id, server.entry.zone);
@@ -115,8 +119,9 @@
         out.push(Action::Send { id, server: to, timeout: request.deadline - now });
     }
 
-    /// Gives the final answer: a rejection where a retry does no harm, else a failure.
-    pub(crate) fn answer(
+    /// Gives the final answer unless the request has one or its streamed answer has begun: a rejection if a
+    /// retry by the client does no harm, else a failure. Cancels the attempts in flight.
+    pub(crate) fn send_final_answer(
         &mut self,
         id: RequestId,
         retry_after: Micros,
@@ -124,27 +129,27 @@
         out: &mut Vec<Action>,
     ) {
         let capabilities = &self.settings.capabilities;
-        let is_open = |request: &&mut crate::request::Request| !request.finished && !request.started;
-        let Some(request) = self.requests.get_mut(&id).filter(is_open) else { return };
-        let is_harmless = match self.settings.classes[request.class].effect {
+        let is_unanswered = |request: &&mut crate::request::Request| !request.finished && !request.started;
+        let Some(request) = self.requests.get_mut(&id).filter(is_unanswered) else { return };
+        let is_retry_harmless = match self.settings.classes[request.class].effect {
             Effect::Idempotent | Effect::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => request.first_that_may_run().is_none(),
         };
-        out.push(if is_harmless {
-            let advice =
+        out.push(if is_retry_harmless {
+            let advised_wait =
                 if capabilities.retry_after { retry_after.min(capabilities.max_retry_after) } else { 0 };
-            Action::Reject { id, retry_after: advice, reason }
+            Action::Reject { id, retry_after: advised_wait, reason }
         } else {
             Action::Fail { id }
         });
         let attempts = request.attempts.iter().enumerate();
-        for (number, _) in attempts.filter(|(_, attempt)| attempt.in_flight && capabilities.cancel) {
-            out.push(Action::Cancel { id, attempt: number as u32 });
+        for (attempt_index, _) in attempts.filter(|(_, attempt)| attempt.in_flight && capabilities.cancel) {
+            out.push(Action::Cancel { id, attempt: attempt_index as u32 });
         }
         self.close(id);
     }
 
-    /// Finishes a request; it stays known while an attempt is in flight.
+    /// Finishes a request; its state is kept while an attempt is in flight.
     pub(crate) fn close(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !std::mem::replace(&mut request.finished, true) {
@@ -157,48 +162,50 @@
         }
     }
 
-    /// Takes the end of an attempt, and retries or answers the request if that did not serve it.
+    /// Handles the end of an attempt, and retries or answers the request unless the request is finished.
     pub(crate) fn end_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
-        number: u32,
+        attempt_index: u32,
         end: &AttemptEnd,
         out: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let attempt = request.attempts.get_mut(number as usize).filter(|attempt| attempt.in_flight);
+        let attempt = request.attempts.get_mut(attempt_index as usize).filter(|attempt| attempt.in_flight);
         let Some(attempt) = attempt else { return };
         attempt.in_flight = false;
         attempt.may_have_run = end.status.may_have_run();
-        let (id_of_server, finished) = (attempt.server, request.finished);
+        let (server_id, finished) = (attempt.server, request.finished);
         let service_time_us = end.elapsed as f64 / (attempt.server_load + 1.0);
         let objective = self.settings.classes[request.class].latency_objective;
-        let key = (attempt.sent_at, id, number);
+        let key = (attempt.sent_at, id, attempt_index);
         self.admission.record_end(now, key, end.status, end.elapsed, objective);
-        if let Some(server) = self.servers.get_mut(id_of_server) {
+        if let Some(server) = self.servers.get_mut(server_id) {
             let kind = (request.class, request.plan);
             self.balancer.record_end(now, server, kind, end.status, service_time_us);
         }
-        if let Some(result) = end.result(objective) {
-            self.outliers.record(now, id_of_server, &mut self.servers, result);
+        if let Some(result) = end.health_result(objective) {
+            self.outliers.record(now, server_id, &mut self.servers, result);
         }
         if end.status == Status::Ok {
-            self.balancer.record_contact(id_of_server);
+            self.balancer.record_contact(server_id);
         }
         if end.request_finished || finished {
             return self.close(id);
         }
-        if let Err(reason) = self.attempt(now, id, out) {
-            self.answer(id, REJECTION_BACKOFF, reason, out);
+        if let Err(reason) = self.start_attempt(now, id, out) {
+            self.send_final_answer(id, REJECTION_BACKOFF, reason, out);
         }
     }
 
-    /// Books attempts that became lost as failures of their servers, before their requests' time is over.
+    /// Records newly lost attempts as failures of their servers, without waiting for the attempts to time
+    /// out.
     pub(crate) fn record_lost_attempts(&mut self, now: Micros) {
         let requests = &self.requests;
-        let server_of =
-            |(id, number): (RequestId, u32)| Some(requests.get(&id)?.attempts.get(number as usize)?.server);
+        let server_of = |(id, attempt_index): (RequestId, u32)| {
+            Some(requests.get(&id)?.attempts.get(attempt_index as usize)?.server)
+        };
         let lost: Vec<ServerId> = self.admission.newly_lost(now).filter_map(server_of).collect();
         for server in lost {
             self.outliers.record(now, server, &mut self.servers, AttemptResult::Failure);
--- a/src/customer.rs
+++ b/src/customer.rs
@@ -7,13 +7,13 @@
 use crate::shared_counter::CustomerCount;
 use std::collections::BTreeMap;
 
-/// One customer at this gateway.
+/// State of one customer at this gateway.
 pub(crate) struct Customer {
     /// Index of the customer's plan.
     pub plan: usize,
-    /// First gateway of the customer's subset.
+    /// Index of the first gateway of the customer's subset.
     pub subset_start: usize,
-    /// Requests held or in flight here.
+    /// Number of the customer's requests at this gateway that are held or in flight.
     pub in_flight: u32,
     pub quota: Quota,
     pub pacer: Pacer,
@@ -21,7 +21,7 @@
     pub count: CustomerCount,
 }
 
-/// All customers with recent requests.
+/// All customers with recent requests at this gateway or recent updates from peers.
 pub(crate) struct Customers {
     /// When this process started, µs.
     started_at: Micros,
@@ -45,13 +45,13 @@
         self.by_id.len()
     }
 
-    /// Adds a customer, with full buckets and without delay, or updates the subset of a known one.
+    /// Adds a customer with a full quota bucket and no pacing delay, or updates the subset of a known one.
     pub fn upsert(
         &mut self,
         now: Micros,
         id: CustomerId,
         plan: usize,
-        terms: &Plan,
+        plan_settings: &Plan,
         subset_size: usize,
         subset_start: usize,
     ) {
@@ -60,19 +60,19 @@
             known.subset_start = subset_start;
             return;
         }
-        let fresh = Customer {
+        let customer = Customer {
             plan,
             subset_start,
             in_flight: 0,
-            quota: Quota::new(terms.clone(), subset_size, now, now - self.started_at),
+            quota: Quota::new(plan_settings.clone(), subset_size, now, now - self.started_at),
             pacer: Pacer::new(now),
             peer_usage: PeerUsage::default(),
             count: CustomerCount::default(),
         };
-        self.by_id.insert(id, fresh);
+        self.by_id.insert(id, customer);
     }
 
-    /// Drops customers that are as good as new.
+    /// Drops customers without requests or counter calls in flight whose buckets are full again by now.
     pub fn expire(&mut self, now: Micros) {
         self.by_id.retain(|_, customer| {
             customer.in_flight > 0 || customer.count.call_in_flight() || now < customer.quota.expires_at()
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: takes events and has the modules of each decision handle them.
+//! The gateway: passes each event to the modules that decide on it.
 
 use crate::admission::Admission;
 use crate::api::{
@@ -13,7 +13,7 @@
 use crate::load_balancing::LoadBalancer;
 use crate::outlier_detection::OutlierDetector;
 use crate::probing::Prober;
-use crate::quota::UsageMeter;
+use crate::quota::UsageReports;
 use crate::random::Random;
 use crate::request::{Arrival, Request};
 use crate::retry::{ClientRetries, RetryBudget};
@@ -21,29 +21,30 @@
 use crate::shared_counter::{CounterReply, SharedCounter};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The timer of the next housekeeping.
-const HOUSEKEEPING: TimerId = TimerId(u64::MAX);
-/// Time between two housekeepings, and between two exchanges of usage, µs.
+/// Timer of the next round of housekeeping.
+const HOUSEKEEPING_TIMER: TimerId = TimerId(u64::MAX);
+/// Time between two rounds of housekeeping, in which usage is exchanged too, µs.
 const HOUSEKEEPING_INTERVAL: Micros = 100_000;
 /// A final answer is due this many ticks before the client's timeout.
 const DEADLINE_MARGIN_TICKS: Micros = 2;
-/// Upper bound of a request's units.
+/// Upper bound, exclusive, of a request's units.
 const MAX_UNITS: f64 = 1e9;
 
-/// The decisions of one gateway.
+/// Makes the decisions of one gateway, with all state that they depend on.
 pub struct Gateway<G = OpenGate> {
-    /// The zones that may be sent to: asked before each attempt, notified of each send.
+    /// Restricts the zones that attempts may go to.
     pub gate: G,
     pub(crate) settings: Settings,
     pub(crate) random: Random,
-    /// The first event has been handled.
+    /// Whether the first event was handled: it starts housekeeping and the server list subscription.
     started: bool,
     pub(crate) customers: Customers,
-    /// Customers with usage that was not published or counted yet.
+    /// Customers whose usage is to be sent to peers or added at the shared counter.
     pub(crate) changed_customers: BTreeSet<CustomerId>,
-    pub(crate) usage_meter: UsageMeter,
+    /// Freshness of the usage reports that come with answers.
+    pub(crate) usage_reports: UsageReports,
     pub(crate) gossip: Gossip,
-    pub(crate) counter: SharedCounter,
+    pub(crate) shared_counter: SharedCounter,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) retry_budget: RetryBudget,
     client_retries: ClientRetries,
@@ -52,26 +53,27 @@
     pub(crate) outliers: OutlierDetector,
     pub(crate) balancer: LoadBalancer,
     prober: Prober,
+    /// Rate of the attempts sent, per second.
     pub(crate) send_rate: DecayingRate,
 }
 
 impl Gateway {
-    /// A gateway that starts now; `seed` seeds its random numbers.
+    /// Creates a gateway that starts now and may send to all zones; `seed` seeds its random numbers.
     ///
     /// # Errors
-    /// The first setting that is out of range.
+    /// [`SettingsError`] for the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         Gateway::with_gate(settings, seed, now, OpenGate)
     }
 }
 
 impl<G: Gate> Gateway<G> {
-    /// A gateway that starts now, whose attempts go through a gate.
+    /// Creates a gateway that starts now and sends only to the zones that `gate` leaves open.
     ///
     /// # Errors
-    /// The first setting that is out of range.
+    /// [`SettingsError`] for the first setting that is out of range.
     pub fn with_gate(settings: Settings, seed: u64, now: Micros, gate: G) -> Result<Self, SettingsError> {
-        crate::check::check(&settings)?;
+        crate::check::check_settings(&settings)?;
         let capabilities = &settings.capabilities;
         Ok(Gateway {
             gate,
@@ -79,9 +81,9 @@
             started: false,
             customers: Customers::new(now),
             changed_customers: BTreeSet::new(),
-            usage_meter: UsageMeter::new(capabilities.usage_period, now),
+            usage_reports: UsageReports::new(capabilities.usage_period, now),
             gossip: Gossip::new(&settings, seed),
-            counter: SharedCounter::new(capabilities, now),
+            shared_counter: SharedCounter::new(capabilities, now),
             requests: BTreeMap::new(),
             retry_budget: RetryBudget::new(capabilities.max_attempts),
             client_retries: ClientRetries::new(capabilities.clients_mark_retries, &settings.classes),
@@ -100,13 +102,13 @@
         self.customers.len()
     }
 
-    /// Handles one event and appends the actions that follow from it, in order.
+    /// Handles an event that happens at `now` and appends the resulting actions to `out`, in order.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
             if self.settings.capabilities.must_subscribe {
                 out.push(Action::SubscribeToServers);
             }
-            self.keep_house(now, out);
+            self.run_housekeeping(now, out);
         }
         match event {
             Event::Servers { kind: ListKind::Failed, .. } => out.push(Action::SubscribeToServers),
@@ -129,13 +131,23 @@
             Event::AnswerStarted { id } => {
                 self.requests.entry(id).and_modify(|request| request.started = true);
             }
-            Event::AttemptEnded { id, attempt, server, status, elapsed, request_finished, usage, settled_units, load } => {
+            Event::AttemptEnded {
+                id,
+                attempt,
+                server,
+                status,
+                elapsed,
+                request_finished,
+                usage,
+                settled_units,
+                load,
+            } => {
                 self.handle_load(now, server, load);
                 self.handle_usage(now, id, usage, settled_units);
                 self.end_attempt(now, id, attempt, &AttemptEnd { status, elapsed, request_finished }, out);
             }
             Event::ClientDisconnected { id } => self.close(id),
-            Event::Timer { timer: HOUSEKEEPING } => self.keep_house(now, out),
+            Event::Timer { timer: HOUSEKEEPING_TIMER } => self.run_housekeeping(now, out),
             Event::Timer { timer } => self.handle_timer(now, timer, out),
             Event::ProbeResult { server, load, .. } => self.handle_load(now, server, load),
             Event::PeerMessage { from, data } => self.receive_peer_message(now, from, &data),
@@ -168,13 +180,13 @@
         self.upsert_customer(now, customer, plan, arrival.subset_size, arrival.subset_start);
         let deadline = now.saturating_add(timeout - margin);
         let request = Request { class, plan, customer, units, arrived_at: now, ..Request::default() };
-        self.arrive(now, id, Request { waited, deadline, ..request }, out);
+        self.handle_arrival(now, id, Request { waited, deadline, ..request }, out);
     }
 
     fn handle_timer(&mut self, now: Micros, timer: TimerId, out: &mut Vec<Action>) {
         let (id, is_deadline) = request_of_timer(timer);
         match self.requests.get(&id) {
-            Some(_) if is_deadline => self.answer(id, 0, RejectReason::DeadlineExceeded, out),
+            Some(_) if is_deadline => self.send_final_answer(id, 0, RejectReason::DeadlineExceeded, out),
             Some(request) if request.held => self.release(now, id, out),
             _ => {}
         }
@@ -185,9 +197,9 @@
         self.balancer.record_report(now, id, server, &load);
     }
 
-    /// Takes what an answer reports of the customer's usage, and of the units that the request really used.
+    /// Applies the customer's usage and the settled units that an answer reports.
     fn handle_usage(&mut self, now: Micros, id: RequestId, usage: Option<f64>, settled_units: Option<f64>) {
-        let phase = self.random.next();
+        let credit_factor = self.random.next();
         let Some(request) = self.requests.get(&id) else { return };
         let Some(customer) = self.customers.get_mut(request.customer) else { return };
         let may_settle = request.within_quota && !request.finished;
@@ -197,10 +209,11 @@
         let has_quota = customer.quota.plan.rate > 0.0;
         let is_valid = |usage: &f64| usage.is_finite() && *usage >= 0.0 && has_quota;
         let Some(usage) = usage.filter(is_valid) else { return };
-        self.usage_meter.record(now);
-        let period_s = self.usage_meter.period_s();
-        let is_news = customer.quota.read_usage(now, usage, period_s, request.units, phase);
-        if is_news && !self.gossip.sends_every_unit() {
+        self.usage_reports.record_received(now);
+        let period_s = self.usage_reports.period_s();
+        let should_publish =
+            customer.quota.apply_usage_report(now, usage, period_s, request.units, credit_factor);
+        if should_publish && !self.gossip.sends_every_unit() {
             self.gossip.publish(request.customer, customer);
         }
     }
@@ -212,10 +225,10 @@
         reply: &CounterReply,
         out: &mut Vec<Action>,
     ) {
-        let roll = self.random.next();
-        self.counter.adapt(reply);
+        let delay_factor = self.random.next();
+        self.shared_counter.adapt_call_rate(reply);
         let Some(customer) = self.customers.get_mut(id) else { return };
-        self.counter.receive(now, id, customer, reply, roll, out);
+        self.shared_counter.receive(now, id, customer, reply, delay_factor, out);
         let waiting = customer.count.take_waiting();
         self.changed_customers.insert(id);
         for request in waiting {
@@ -225,54 +238,58 @@
         }
     }
 
-    /// Does what is due at regular times, and sets the timer for the next.
-    fn keep_house(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Does the periodic work, and sets the timer for the next round.
+    fn run_housekeeping(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.share_usage(now, out);
         self.gossip.send(now, &self.customers, out);
         self.record_lost_attempts(now);
         self.outliers.update(now, &self.servers);
-        self.earn_slow_start(now);
+        self.earn_slow_start_credit(now);
         let ready = self.servers.ready();
         if self.prober.is_due(now, ready.len().max(1) as f64, self.send_rate.get(now)) {
             out.extend(ready.iter().map(|id| Action::Probe { server: *id }));
         }
         self.customers.expire(now);
-        out.push(Action::Timer { at: now + HOUSEKEEPING_INTERVAL, timer: HOUSEKEEPING });
+        out.push(Action::Timer { at: now + HOUSEKEEPING_INTERVAL, timer: HOUSEKEEPING_TIMER });
     }
 
-    /// Publishes and counts new usage.
+    /// Queues new usage for peers and adds it at the shared counter. A customer with usage that may not be
+    /// added yet stays in `changed_customers`.
     fn share_usage(&mut self, now: Micros, out: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.changed_customers) {
             let Some(customer) = self.customers.get_mut(id) else { continue };
             if self.gossip.sends_every_unit() && customer.peer_usage.is_significant() {
                 self.gossip.publish(id, customer);
             }
-            let needs_call = self.counter.is_enabled() && customer.count.needs_call();
-            if needs_call && (!self.counter.call(now, id, customer, 0.0, out) || self.counter.is_exhausted())
+            let needs_call = self.shared_counter.is_enabled() && customer.count.needs_call();
+            if needs_call
+                && (!self.shared_counter.call(now, id, customer, 0.0, out)
+                    || self.shared_counter.is_exhausted())
             {
                 self.changed_customers.insert(id);
             }
         }
     }
 
-    /// Earns the credit of servers that are warming up, at the rate that a warm server is sent here. Where
-    /// none is warm, that is no guide, and the rate is estimated by what each server serves.
-    fn earn_slow_start(&mut self, now: Micros) {
+    /// Adds to the slow start credit of each server, in proportion to the mean rate at which this gateway
+    /// sends to a ready server. While no server is warm, that rate says little about a warm server's
+    /// capacity: it is then at least this gateway's share of the rate that the server's service time allows.
+    fn earn_slow_start_credit(&mut self, now: Micros) {
         let limits = &self.settings.backend_limits;
         let ready = self.servers.ready();
         let send_rate = self.send_rate.get(now) / ready.len().max(1) as f64;
         let is_warming_up =
-            |id: &ServerId| self.servers.ready_server(*id).slow_start.capacity(now, limits) < 1.0;
-        let none_is_warm = ready.iter().all(is_warming_up);
-        let usual = self.balancer.usual_service_time();
+            |id: &ServerId| self.servers.ready_server(*id).slow_start.capacity_share(now, limits) < 1.0;
+        let all_warming_up = ready.iter().all(is_warming_up);
+        let usual_us = self.balancer.usual_service_time_us();
         let gateways = self.settings.gateways as f64;
         for server in self.servers.iter_mut() {
-            let served = if none_is_warm {
-                1e6 / server.load.service_time(now, &server.health, usual).max(1.0) / gateways
+            let served_rate = if all_warming_up {
+                1e6 / server.load.service_time_us(now, &server.health, usual_us).max(1.0) / gateways
             } else {
                 0.0
             };
-            server.slow_start.earn(now, HOUSEKEEPING_INTERVAL, send_rate.max(served), limits);
+            server.slow_start.earn_credit(now, HOUSEKEEPING_INTERVAL, send_rate.max(served_rate), limits);
         }
     }
 }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,7 +1,8 @@
 //! Gossip: usage updates that gateways send each other.
 //!
-//! Where peers are few enough, each learns of every unit that the others use. Among more, only the demand of
-//! customers beyond their quota is sent, as far as the peers' intake allows.
+//! Among few gateways, updates contain every unit that customers use. Among more, these would exceed the rate
+//! of messages that gateways accept: only the demand of customers beyond their quota is sent, and the number
+//! of updates is limited by that of the requests at this gateway.
 
 use crate::api::{Action, CustomerId, Gate, Micros, Settings};
 use crate::customer::{Customer, Customers};
@@ -10,105 +11,111 @@
 use crate::quota::{UsageSource, MAX_DEMAND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer that was not heard for this long may be down or cut off, µs.
+/// A peer without a message for this long may be down or unreachable, µs.
 const PEER_TIMEOUT: Micros = 1_500_000;
-/// Longest time between two messages to a peer that relies on them, µs.
-const HEARTBEAT: Micros = 500_000;
-/// Share of a gateway's intake of messages that its peers fill together.
-const INTAKE_SHARE: f64 = 0.8;
-/// Updates that each request of our own allows to be sent, among many peers.
+/// Longest time between two messages to peers where every unit is sent, µs.
+const HEARTBEAT_INTERVAL: Micros = 500_000;
+/// Share that all peers together use of the message rate that a gateway accepts.
+const ACCEPTED_RATE_SHARE: f64 = 0.8;
+/// Updates to peers that each request at this gateway allows, where only demand is sent.
 const UPDATES_PER_REQUEST: f64 = 6.0;
-/// Maximum number of updates saved up.
+/// Maximum number of allowed updates that are saved up.
 const MAX_SAVED_UPDATES: f64 = 400.0;
 
 /// A customer's usage as exchanged with peers.
 #[derive(Default)]
 pub(crate) struct PeerUsage {
-    /// Units used here, a running total.
-    sent_units: f64,
-    /// Incarnation and running total last received from each peer.
+    /// Running total of the units used at this gateway.
+    own_units: f64,
+    /// Incarnation and running total in the last update of each peer.
     received: BTreeMap<usize, (u32, u32)>,
 }
 
 impl PeerUsage {
-    /// Counts units used here.
+    /// Counts units used at this gateway.
     pub fn record(&mut self, units: f64) {
-        self.sent_units += units;
+        self.own_units += units;
     }
 
-    /// Whether the customer uses enough here to be worth a message.
+    /// Whether the customer has used more than one unit at this gateway, which makes it worth a message.
     pub fn is_significant(&self) -> bool {
-        self.sent_units > 1.0
+        self.own_units > 1.0
     }
 
-    /// Units used at a peer since its last update.
-    fn receive(&mut self, from: usize, incarnation: u32, total: u32) -> f64 {
+    /// Records the running total of a peer's update; returns the units used there since its last update, or
+    /// all of the total if the peer has restarted.
+    fn record_update(&mut self, from: usize, incarnation: u32, total: u32) -> f64 {
         let previous = self.received.insert(from, (incarnation, total));
         let increase = match previous {
-            Some((known, before)) if known == incarnation => total.wrapping_sub(before) & TOTAL_MASK,
+            Some((known, previous)) if known == incarnation => total.wrapping_sub(previous) & TOTAL_MASK,
             _ => total,
         };
         f64::from(increase) / TOTAL_PER_UNIT
     }
 }
 
-/// Messages to and from the other gateways.
+/// The exchange of usage updates with the other gateways.
 pub(crate) struct Gossip {
     enabled: bool,
     self_id: usize,
-    /// Identifies this start of the gateway.
+    /// Identifies the present run of this gateway, 24 bits.
     incarnation: u32,
-    /// So seldom may one gateway send to all its peers without overloading their intake, µs.
+    /// Shortest time between two rounds of messages to all peers at which no gateway receives more messages
+    /// than it accepts, µs.
     send_interval: Micros,
-    /// Peers are few enough to be sent every unit.
+    /// Whether gateways are few enough to be sent every unit rather than the demand.
     sends_every_unit: bool,
+    /// Updates that may be sent now, where only demand is sent.
     saved_updates: f64,
-    last_sent: Micros,
-    last_received: Vec<Micros>,
-    /// Customers to send an update of, for each peer.
+    last_sent_at: Micros,
+    /// When a message of each gateway was last received; 0 if never.
+    last_received_at: Vec<Micros>,
+    /// Customers whose update is still to be sent, for each gateway.
     outbox: Vec<BTreeSet<CustomerId>>,
 }
 
 impl Gossip {
     pub fn new(settings: &Settings, seed: u64) -> Gossip {
         let gateways = settings.gateways;
-        let intake_rate = (INTAKE_SHARE * settings.capabilities.peer_messages_per_s).max(0.1);
-        let send_interval = ((gateways - 1) as f64 * 1e6 / intake_rate) as Micros;
+        let peer_message_rate = (ACCEPTED_RATE_SHARE * settings.capabilities.peer_messages_per_s).max(0.1);
+        let send_interval = ((gateways - 1) as f64 * 1e6 / peer_message_rate) as Micros;
         Gossip {
             enabled: settings.capabilities.peers,
             self_id: settings.gateway_id,
             incarnation: (seed ^ (seed >> 32)) as u32 & TOTAL_MASK,
             send_interval,
-            sends_every_unit: settings.capabilities.peers && send_interval <= HEARTBEAT,
+            sends_every_unit: settings.capabilities.peers && send_interval <= HEARTBEAT_INTERVAL,
             saved_updates: MAX_SAVED_UPDATES / 2.0,
-            last_sent: 0,
-            last_received: vec![0; gateways],
+            last_sent_at: 0,
+            last_received_at: vec![0; gateways],
             outbox: vec![BTreeSet::new(); gateways],
         }
     }
 
-    /// Whether peers exchange every unit rather than the demand.
+    /// Whether every unit is sent to peers rather than the demand.
     pub fn sends_every_unit(&self) -> bool {
         self.sends_every_unit
     }
 
-    /// A request of our own allows more updates.
+    /// Allows more updates to be sent, since a request has arrived at this gateway.
     pub fn record_request(&mut self) {
         self.saved_updates = (self.saved_updates + UPDATES_PER_REQUEST).min(MAX_SAVED_UPDATES);
     }
 
-    /// Whether all units that peers use of this customer's quota are known.
+    /// Whether all units that peers use of the customer's quota are known: every gateway of its subset sends
+    /// them and has sent a message within [`PEER_TIMEOUT`].
     pub fn knows_usage_of(&self, now: Micros, customer: &Customer) -> bool {
-        let gateways = self.last_received.len();
+        let gateways = self.last_received_at.len();
         let is_fresh = |gateway: usize| {
-            let received = self.last_received[gateway];
+            let received = self.last_received_at[gateway];
             gateway == self.self_id || now < received.saturating_add(PEER_TIMEOUT) && received > 0
         };
         self.sends_every_unit
             && (0..customer.quota.subset_size).all(|k| is_fresh((customer.subset_start + k) % gateways))
     }
 
-    /// Queues an update of a customer for the gateways of its subset.
+    /// Queues an update on a customer for the gateways of its subset. Does nothing if messages to peers are
+    /// not allowed, or too few updates are saved up.
     pub fn publish(&mut self, id: CustomerId, customer: &Customer) {
         let size = customer.quota.subset_size;
         let cost = if self.sends_every_unit { 0.0 } else { size as f64 };
@@ -122,41 +129,43 @@
         }
     }
 
-    /// Sends what is queued. Usage is sent as running totals, so that a lost message only delays it.
+    /// Sends the queued updates, in one message of at most [`MAX_UPDATES`] to each peer. Usage is sent as
+    /// running totals, so the next update of a customer makes up for a lost one.
     pub fn send(&mut self, now: Micros, customers: &Customers, out: &mut Vec<Action>) {
-        let since_last = now.saturating_sub(self.last_sent);
+        let since_last = now.saturating_sub(self.last_sent_at);
         if self.sends_every_unit && since_last < self.send_interval {
             return;
         }
-        let heartbeat_due = self.sends_every_unit && since_last >= HEARTBEAT;
+        let heartbeat_due = self.sends_every_unit && since_last >= HEARTBEAT_INTERVAL;
         for to in (0..self.outbox.len()).filter(|to| *to != self.self_id) {
             if self.outbox[to].is_empty() && !heartbeat_due {
                 continue;
             }
-            self.last_sent = now;
+            self.last_sent_at = now;
             let batch: Vec<CustomerId> = self.outbox[to].iter().copied().take(MAX_UPDATES).collect();
             self.outbox[to].retain(|id| !batch.contains(id));
             let known = batch.iter().filter_map(|id| Some((*id, customers.get(*id)?)));
-            let updates: Vec<UsageUpdate> = known.map(|(id, customer)| update(id, customer)).collect();
+            let updates: Vec<UsageUpdate> = known.map(|(id, customer)| usage_update(id, customer)).collect();
             out.push(Action::SendToPeer { to, data: encode(self.incarnation, &updates) });
         }
     }
 
-    /// Reads a message of a peer; `None` if the sender or the format is unknown.
+    /// Decodes a peer's message into its incarnation and updates; `None` if the sender or the format is
+    /// unknown.
     fn receive(&mut self, now: Micros, from: usize, data: &[u8]) -> Option<(u32, Vec<UsageUpdate>)> {
-        let known = from < self.last_received.len() && from != self.self_id;
+        let known = from < self.last_received_at.len() && from != self.self_id;
         let message = decode(data).filter(|_| known)?;
-        self.last_received[from] = now;
+        self.last_received_at[from] = now;
         Some(message)
     }
 }
 
-fn update(id: CustomerId, customer: &Customer) -> UsageUpdate {
+fn usage_update(id: CustomerId, customer: &Customer) -> UsageUpdate {
     UsageUpdate {
         customer: id,
         plan: customer.plan,
         subset_size: customer.quota.subset_size,
-        total: (customer.peer_usage.sent_units * TOTAL_PER_UNIT) as u64 as u32,
+        total: (customer.peer_usage.own_units * TOTAL_PER_UNIT) as u64 as u32,
         demand: customer.quota.observed_demand(),
     }
 }
@@ -164,7 +173,7 @@
 impl<G: Gate> Gateway<G> {
     /// Applies the usage updates of a peer's message.
     pub(crate) fn receive_peer_message(&mut self, now: Micros, from: usize, data: &[u8]) {
-        let phase = self.random.next();
+        let onset_credit = self.random.next();
         let Some((incarnation, updates)) = self.gossip.receive(now, from, data) else { return };
         for update in updates {
             let id = update.customer;
@@ -175,10 +184,10 @@
             };
             customer.quota.refill(now, 0.0, UsageSource::Exact);
             if self.gossip.sends_every_unit() {
-                let units = customer.peer_usage.receive(from, incarnation, update.total);
-                customer.quota.take_for_peer(units);
+                let units = customer.peer_usage.record_update(from, incarnation, update.total);
+                customer.quota.take_peer_usage(units);
             } else {
-                customer.quota.observe_demand(now, update.demand.min(MAX_DEMAND), phase);
+                customer.quota.observe_demand(now, update.demand.min(MAX_DEMAND), onset_credit);
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! frostgauge makes the decisions of a gateway that holds customers to their quotas before a shared
-//! back end: who goes on at once, who waits, who is refused, and which server gets the request.
+//! frostgauge makes the decisions of a gateway that enforces customers' quotas in front of a shared back
+//! end: which requests are sent at once, held or rejected, and which server each is sent to.
 //!
-//! It does no input or output and reads no clock. The host hands in [`Event`]s with the time and
-//! carries out the [`Action`]s that come back:
+//! It does no input or output and reads no clock. The host hands [`Event`]s with the present time to a
+//! [`Gateway`] and carries out the [`Action`]s that the gateway appends:
 //!
 //! ```
 //! use frostgauge::*;
@@ -48,7 +48,14 @@
 //! };
 //! let mut actions = Vec::new();
 //! let mut gateway = Gateway::new(settings, 7, 0)?;
-//! let entry = ServerEntry { server: ServerId(1), state: ServerState::Ready, ready_at: 0, size: 1.0, zone: 0, cell: 0 };
+//! let entry = ServerEntry {
+//!     server: ServerId(1),
+//!     state: ServerState::Ready,
+//!     ready_at: 0,
+//!     size: 1.0,
+//!     zone: 0,
+//!     cell: 0,
+//! };
 //! gateway.handle(0, Event::Servers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! let request = Event::Request {
 //!     id: RequestId(1),
@@ -63,7 +70,7 @@
 //! };
 //! gateway.handle(1_000, request, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
-//! // A host hands each `Action::Timer` back as an `Event::Timer` once its time has come.
+//! // The host hands each `Action::Timer` back as an `Event::Timer` when it expires.
 //! for action in actions.split_off(0) {
 //!     if let Action::Timer { at, timer } = action {
 //!         gateway.handle(at, Event::Timer { timer }, &mut actions);
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -1,73 +1,74 @@
-//! Outlier detection: servers that fail more than is usual are ejected for a while.
+//! Outlier detection: servers that fail more often than usual are ejected for a while, which means avoided.
 
-use crate::api::{Micros, ServerId, State};
+use crate::api::{Micros, ServerId, ServerState};
 use crate::decay::decay;
 use crate::servers::{Server, Servers};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of one result in a server's success rate.
+/// Minimum weight of one result in the success rate of a server or zone.
 const RESULT_WEIGHT: f64 = 0.1;
-/// Share of the usual success rate, squared, below which a server is ejected.
-const MIN_SUCCESS: f64 = 0.8;
-/// Share of the usual success rate above which past ejections are forgotten.
-const RECOVERED_SUCCESS: f64 = 0.9;
-/// Time constant by which results are forgotten, s: so an unused server is tried again.
+/// A server is ejected below this share of the square of the usual success rate.
+const MIN_SUCCESS_SHARE: f64 = 0.8;
+/// Above this share of the usual success rate, the next ejection is as short as the first.
+const RECOVERED_SUCCESS_SHARE: f64 = 0.9;
+/// Time constant by which the weight of past results decays, s, so that an avoided server is tried again.
 const RESULT_HORIZON_S: f64 = 5.0;
-/// Duration of a first ejection, µs.
-const EJECTION: Micros = 1_000_000;
-/// Maximum number of times that the duration of an ejection doubles.
+/// Duration of a first ejection, µs; each further ejection in a row doubles it.
+const FIRST_EJECTION: Micros = 1_000_000;
+/// Maximum number of times that [`FIRST_EJECTION`] doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// With more than this share of servers ejected, ejections are ignored.
+/// If more than this share of the ready servers is ejected, ejections are ignored.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Result of an attempt as far as it concerns the health of a server.
+/// Result of an attempt for the health of its server.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum AttemptResult {
     Success,
     Failure,
-    /// No connection: one such result ejects the server.
+    /// No connection was established; a single such result ejects the server.
     Unreachable,
 }
 
-/// Health of a server or a zone by the results of attempts.
+/// Health of a server or a zone, from the results of attempts.
 #[derive(Default)]
 pub(crate) struct Health {
+    /// Mean of the results as of `observed_at`, from 0 (all failed) to 1.
     success: f64,
     observed_at: Micros,
     ejected_until: Micros,
-    /// Ejections in a row.
+    /// Number of ejections since the last recovery.
     ejections: u32,
 }
 
 impl Health {
-    /// Health before any result.
+    /// Creates the health before any result, which is full.
     pub fn new(now: Micros) -> Health {
         Health { success: 1.0, observed_at: now, ..Health::default() }
     }
 
-    /// Share of successful attempts, returning to 1 as the results age.
+    /// Share of successful attempts; approaches 1 as the results age.
     pub fn success_rate(&self, now: Micros) -> f64 {
         1.0 - (1.0 - self.success) * self.weight_of_past(now)
     }
 
-    /// Weight of past results, from 1 falling to 0 as they age.
+    /// Weight of past results, which falls from 1 to 0 as they age.
     pub fn weight_of_past(&self, now: Micros) -> f64 {
         decay(self.unobserved_for(now), RESULT_HORIZON_S)
     }
 
-    /// Time since the last result.
+    /// Time since the last result, µs.
     pub fn unobserved_for(&self, now: Micros) -> Micros {
         now.saturating_sub(self.observed_at)
     }
 
-    /// Whether it is ejected.
+    /// Whether the server or zone is ejected at `now`.
     pub fn is_ejected(&self, now: Micros) -> bool {
         self.ejected_until > now
     }
 
-    /// Records a result, compared with the success rate that is usual: where errors come alike at all
-    /// servers, one says little of its server. A server that is seen seldom is judged by the little that is
-    /// seen.
+    /// Records a result, and ejects a server whose success rate is too far below `usual_success`: where all
+    /// servers fail alike, a failure says little about one of them. The longer ago the last result, the more
+    /// the new one weighs, so that a server with few requests is judged too.
     pub fn record(&mut self, now: Micros, result: AttemptResult, usual_success: f64) {
         self.success = self.success_rate(now);
         let gap = self.unobserved_for(now);
@@ -75,20 +76,22 @@
         let succeeded = result == AttemptResult::Success;
         self.success += weight * (f64::from(u8::from(succeeded)) - self.success);
         self.observed_at = now;
-        if succeeded && self.success > RECOVERED_SUCCESS * usual_success {
+        if succeeded && self.success > RECOVERED_SUCCESS_SHARE * usual_success {
             self.ejections = 0;
         }
-        let min_success = MIN_SUCCESS * usual_success * usual_success;
-        let failing = result == AttemptResult::Unreachable || self.success < min_success;
-        if failing && !self.is_ejected(now) {
+        let min_success = MIN_SUCCESS_SHARE * usual_success * usual_success;
+        let should_eject = result == AttemptResult::Unreachable || self.success < min_success;
+        if should_eject && !self.is_ejected(now) {
             self.eject(now, gap);
             self.success = min_success;
         }
     }
 
+    /// Ejects the server for at least as long as it had no results before (`gap`), up to the maximum
+    /// duration.
     fn eject(&mut self, now: Micros, gap: Micros) {
-        let max_duration = EJECTION << MAX_EJECTION_DOUBLINGS;
-        let duration = EJECTION << self.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let max_duration = FIRST_EJECTION << MAX_EJECTION_DOUBLINGS;
+        let duration = FIRST_EJECTION << self.ejections.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + duration.max(gap.min(max_duration));
         self.ejections += 1;
     }
@@ -96,9 +99,11 @@
 
 /// Health of all servers and zones.
 pub(crate) struct OutlierDetector {
-    /// Success rate that half of the ready servers reach, as of the last update.
+    /// Median success rate of the ready servers, as of the last update.
     usual_success: f64,
+    /// Servers that are ejected, or were since the last update.
     ejected: BTreeSet<ServerId>,
+    /// Health of each zone, by zone index.
     zones: BTreeMap<u32, Health>,
 }
 
@@ -107,8 +112,8 @@
         OutlierDetector { usual_success: 1.0, ejected: BTreeSet::new(), zones: BTreeMap::new() }
     }
 
-    /// Records a result with its server, and with its zone, so that a lost zone is noticed before each of its
-    /// servers has failed.
+    /// Records a result for its server and for the server's zone, so that the failure of a zone is detected
+    /// before each of its servers has failed.
     pub fn record(&mut self, now: Micros, id: ServerId, servers: &mut Servers, result: AttemptResult) {
         let Some(server) = servers.get_mut(id) else { return };
         server.health.record(now, result, self.usual_success);
@@ -120,21 +125,23 @@
         zone.record(now, result, self.usual_success);
     }
 
-    /// Success rate to be expected of a server, by its own results and its zone's.
+    /// Expected success rate of a server: its own times its zone's.
     pub fn expected_success(&self, now: Micros, server: &Server) -> f64 {
         let zone = self.zones.get(&server.entry.zone);
         server.health.success_rate(now) * zone.map_or(1.0, |zone| zone.success_rate(now))
     }
 
-    /// Whether ejected servers are to be avoided.
-    pub fn is_trusted(&self, now: Micros, servers: &Servers) -> bool {
+    /// Whether ejected servers are to be avoided: not if more than [`MAX_EJECTED_SHARE`] of the ready ones
+    /// are.
+    pub fn should_avoid_ejected(&self, now: Micros, servers: &Servers) -> bool {
         let known = self.ejected.iter().filter_map(|id| servers.get(*id));
-        let is_out = |server: &&Server| server.health.is_ejected(now) && server.entry.state == ServerState::Ready;
-        let ejected = known.filter(is_out).count() as f64;
+        let is_ejected =
+            |server: &&Server| server.health.is_ejected(now) && server.entry.state == ServerState::Ready;
+        let ejected = known.filter(is_ejected).count() as f64;
         ejected <= MAX_EJECTED_SHARE * servers.ready().len() as f64
     }
 
-    /// Updates what depends on all servers.
+    /// Updates the usual success rate and the set of ejected servers.
     pub fn update(&mut self, now: Micros, servers: &Servers) {
         let known = servers.ready().iter().filter_map(|id| servers.get(*id));
         let mut rates: Vec<f64> = known.map(|server| server.health.success_rate(now)).collect();
--- a/src/pacing.rs
+++ b/src/pacing.rs
@@ -1,43 +1,48 @@
-//! Pacing: requests beyond the quota leave one per delay.
+//! Pacing: a customer's requests beyond the quota are released one by one, a delay apart.
 //!
-//! The delay follows the peak load control of Lee and Min (2007, Figure 10), one pacer per customer.
+//! The delay is adapted as in the peak load control of Lee and Min (2007, Figure 10), for each customer by
+//! itself.
 
 use crate::api::Micros;
 use crate::decay::seconds;
 
-/// Length of a pacing interval, µs.
+/// Interval after which the delay is adapted, µs.
 const INTERVAL: Micros = 500_000;
-/// A delay up to this decays to zero, ms; the paper's δ.
+/// A delay up to this drops to zero after an interval within the quota, ms; δ in the paper.
 const MIN_DELAY_MS: f64 = 10.0;
-/// Factor on the delay after an interval within the quota; the paper's β.
+/// Factor on a longer delay after an interval within the quota; β in the paper.
 const DELAY_DECAY: f64 = 0.5;
-/// Longest hold, as a share of the class's latency objective: answering needs the rest.
-const MAX_HOLD_OF_OBJECTIVE: f64 = 0.15;
-/// Longest hold, as a share of the request's own remaining time: a client is rejected while it can still
-/// retry.
-const MAX_HOLD_OF_TIMEOUT: f64 = 0.25;
+/// Longest hold, as a share of the class's latency objective; the rest is needed to serve the request.
+const MAX_HOLD_SHARE_OF_OBJECTIVE: f64 = 0.15;
+/// Longest hold, as a share of the time left until the request's deadline: a client that is rejected after
+/// the hold still has time to retry.
+const MAX_HOLD_SHARE_OF_REMAINING: f64 = 0.25;
 
-/// The longest time that a request may be held, µs.
-pub(crate) fn max_hold(latency_objective: Micros, remaining: Micros) -> f64 {
-    let of_timeout = remaining as f64 * MAX_HOLD_OF_TIMEOUT;
-    (latency_objective as f64 * MAX_HOLD_OF_OBJECTIVE).min(of_timeout)
+/// The longest time that a request may be held, with `remaining` µs left until its deadline.
+pub(crate) fn max_hold_us(latency_objective: Micros, remaining: Micros) -> f64 {
+    let by_remaining = remaining as f64 * MAX_HOLD_SHARE_OF_REMAINING;
+    (latency_objective as f64 * MAX_HOLD_SHARE_OF_OBJECTIVE).min(by_remaining)
 }
 
-/// The pacer of one customer.
+/// Paces the requests of one customer.
 pub(crate) struct Pacer {
+    /// Time between two releases.
     delay_ms: f64,
     interval_start: Micros,
+    /// Units of the requests that arrived in the present interval.
     interval_units: f64,
-    next_release: Micros,
+    /// Release time of the request held last.
+    last_release: Micros,
 }
 
 impl Pacer {
-    /// A pacer without delay.
+    /// Creates a pacer without delay, whose first interval starts now.
     pub fn new(now: Micros) -> Pacer {
-        Pacer { delay_ms: 0.0, interval_start: now, interval_units: 0.0, next_release: 0 }
+        Pacer { delay_ms: 0.0, interval_start: now, interval_units: 0.0, last_release: 0 }
     }
 
-    /// Ends the intervals that are over and sets the delay for the next one.
+    /// Ends the intervals that are over by `now` and adapts the delay after each. `quota_rate` is this
+    /// gateway's share of the quota, units per second.
     pub fn advance(&mut self, now: Micros, quota_rate: f64, in_flight: u32, max_delay_ms: f64) {
         while now >= self.interval_start + INTERVAL {
             let excess_rate = self.interval_units / seconds(INTERVAL) - quota_rate;
@@ -61,19 +66,19 @@
         }
     }
 
-    /// Counts the units of a request that arrives in this interval.
-    pub fn record(&mut self, units: f64) {
+    /// Counts the units of a request that arrives in the present interval.
+    pub fn record_arrival(&mut self, units: f64) {
         self.interval_units += units;
     }
 
-    /// When a request that arrives now would be released if it is held.
-    pub fn release_time(&self, now: Micros, max_hold: f64) -> Micros {
-        let release = self.next_release.max(now) + (self.delay_ms * 1e3) as Micros;
-        release.min(now + max_hold as Micros)
+    /// When a request that arrives now is to be released, at most `max_hold_us` later.
+    pub fn release_time(&self, now: Micros, max_hold_us: f64) -> Micros {
+        let release_at = self.last_release.max(now) + (self.delay_ms * 1e3) as Micros;
+        release_at.min(now + max_hold_us as Micros)
     }
 
-    /// Takes a release time for a held request.
-    pub fn reserve(&mut self, release: Micros) {
-        self.next_release = release;
+    /// Records the release time of a held request: the next one is released a delay later.
+    pub fn reserve(&mut self, release_at: Micros) {
+        self.last_release = release_at;
     }
 }
--- a/src/peer_message.rs
+++ b/src/peer_message.rs
@@ -1,25 +1,25 @@
 //! Wire format of the messages between gateways.
 //!
 //! A message has a head (version, incarnation of the sender) and up to [`MAX_UPDATES`] usage updates of fixed
-//! length, all numbers big-endian.
+//! length. All numbers are big-endian.
 
 use crate::api::CustomerId;
 
-/// Version of the format, the first byte of a message.
+/// Version of the format: the first byte of a message.
 const VERSION: u8 = 1;
-/// Length of a message's head, bytes.
+/// Length of the head of a message, bytes.
 const HEAD_BYTES: usize = 4;
 /// Length of one usage update, bytes.
 const UPDATE_BYTES: usize = 15;
-/// Longest message, bytes.
+/// Maximum length of a message, bytes.
 const MAX_MESSAGE_BYTES: usize = 256;
 /// Maximum number of usage updates in a message.
 pub(crate) const MAX_UPDATES: usize = (MAX_MESSAGE_BYTES - HEAD_BYTES) / UPDATE_BYTES;
-/// Resolution of the total, per unit.
+/// Steps in which the running total is sent, per unit.
 pub(crate) const TOTAL_PER_UNIT: f64 = 8.0;
-/// The bits of a total that are sent.
+/// The bits of a running total, and of an incarnation, that are sent.
 pub(crate) const TOTAL_MASK: u32 = 0xff_ffff;
-/// Resolution of the demand, per quota.
+/// Steps in which the demand is sent, per multiple of the quota.
 const DEMAND_PER_QUOTA: f64 = 16.0;
 
 /// One customer's usage at the sending gateway.
@@ -29,13 +29,15 @@
     pub plan: usize,
     /// Number of gateways in the customer's subset.
     pub subset_size: usize,
-    /// Running total of units used, in eighths of a unit, 24 bits of it.
+    /// Running total of the units used there, in steps of 1/[`TOTAL_PER_UNIT`]; its low 24 bits are sent.
     pub total: u32,
-    /// Demand at all gateways as a multiple of the quota, sent in sixteenths, up to 15.9.
+    /// Demand at all gateways as a multiple of the quota; sent in steps of 1/[`DEMAND_PER_QUOTA`], up to
+    /// 15.9.
     pub demand: f64,
 }
 
-/// Encodes a message; `incarnation` (24 bits) identifies the start of the sender that the totals belong to.
+/// Encodes a message. `incarnation` (24 bits) identifies the run of the sender in which the totals were
+/// counted.
 pub(crate) fn encode(incarnation: u32, updates: &[UsageUpdate]) -> Vec<u8> {
     let mut data = vec![VERSION];
     data.extend(&incarnation.to_be_bytes()[1..]);
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,39 +1,47 @@
-//! Probing: when servers are probed for their load, and what load reports say.
+//! Probing: when servers are probed for their load, and how load reports are read.
 
 use crate::api::{Capabilities, Load, LoadReports, Micros};
 use crate::decay::seconds;
 use crate::load_balancing::LOAD_REPORT_HORIZON_S;
 
-/// Shortest time between two probes of a server, µs.
+/// Shortest time between two probes of the same server, µs.
 const PROBE_INTERVAL: Micros = 400_000;
-/// Maximum number of probes per request.
+/// Maximum number of probes per request sent.
 const MAX_PROBES_PER_REQUEST: f64 = 0.4;
 
-/// Schedule of probes.
+/// Schedule of the probes of all ready servers, which are probed at the same time.
 pub(crate) struct Prober {
+    /// Whether servers may be probed and report their load only so.
     enabled: bool,
-    last_probe: Micros,
+    last_probe_at: Micros,
 }
 
 impl Prober {
     pub fn new(capabilities: &Capabilities) -> Prober {
-        Prober { enabled: capabilities.probes && capabilities.load_reports == LoadReports::Probe, last_probe: 0 }
+        Prober {
+            enabled: capabilities.probes && capabilities.load_reports == LoadReports::Probe,
+            last_probe_at: 0,
+        }
     }
 
-    /// Whether all ready servers are to be probed now; not where their reports would be too old to be of use.
+    /// Whether the ready servers are to be probed now; if so, counts them as probed. They are never probed if
+    /// the interval that `send_rate` (requests/s) allows is so long that a report would be outdated before
+    /// the next.
     pub fn is_due(&mut self, now: Micros, ready_servers: f64, send_rate: f64) -> bool {
-        let affordable = (ready_servers / (MAX_PROBES_PER_REQUEST * send_rate).max(1e-3) * 1e6) as Micros;
-        let interval = PROBE_INTERVAL.max(affordable);
-        let due =
-            self.enabled && seconds(interval) <= LOAD_REPORT_HORIZON_S && now >= self.last_probe + interval;
+        let min_interval = (ready_servers / (MAX_PROBES_PER_REQUEST * send_rate).max(1e-3) * 1e6) as Micros;
+        let interval = PROBE_INTERVAL.max(min_interval);
+        let due = self.enabled
+            && seconds(interval) <= LOAD_REPORT_HORIZON_S
+            && now >= self.last_probe_at + interval;
         if due {
-            self.last_probe = now;
+            self.last_probe_at = now;
         }
         due
     }
 }
 
-/// Requests of other gateways at a server by its load report; `None` if the report does not contain them.
+/// Number of other gateways' requests at a server, from its load report: those in flight, or else an estimate
+/// from its queue. `None` if the report has neither.
 pub(crate) fn requests_of_others(load: &Load, own_in_flight: u32, gateways: usize) -> Option<f64> {
     let share_of_others = 1.0 - 1.0 / gateways as f64;
     let by_in_flight = load.inflight.map(|in_flight| in_flight - f64::from(own_in_flight));
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,10 +1,10 @@
-//! Pseudo-random numbers.
+//! Pseudo-random numbers, the same for the same seed.
 
-/// A seeded generator (SplitMix64), so that a run can be repeated.
+/// SplitMix64 generator. It is seeded by the host, so that a run can be repeated exactly.
 pub(crate) struct Random(pub u64);
 
 impl Random {
-    /// The next number, uniform from 0 up to 1.
+    /// The next number, uniform from 0 (inclusive) to 1 (exclusive).
     pub fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,8 +1,8 @@
-//! State kept for each request.
+//! State kept for each client request.
 
 use crate::api::{CustomerId, Micros, ServerId};
 
-/// A request as it comes in; its fields are those of [`crate::Event::Request`].
+/// A request that arrives; its fields are those of [`crate::Event::Request`].
 pub(crate) struct Arrival {
     pub class: usize,
     pub plan: usize,
@@ -14,43 +14,43 @@
     pub is_retry: bool,
 }
 
-/// One attempt to have a server serve a request.
+/// One attempt of a request.
 pub(crate) struct Attempt {
     pub server: ServerId,
     pub sent_at: Micros,
     pub in_flight: bool,
-    /// It ended in a way that does not exclude that the request ran.
+    /// Whether the attempt ended with a status after which the request may have run.
     pub may_have_run: bool,
-    /// Requests expected at the server when this one was sent.
+    /// Requests expected at the server when the attempt was sent, without this one.
     pub server_load: f64,
 }
 
-/// A client's request from its arrival until it is answered and no attempt is in flight.
+/// A client request, from its arrival until it has its final answer and no attempt is in flight.
 #[derive(Default)]
 pub(crate) struct Request {
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
     pub customer: CustomerId,
     pub units: f64,
     pub arrived_at: Micros,
-    /// How long the client has waited in earlier requests for the same, µs.
+    /// How long the client has waited in earlier requests of which this is a retry, µs.
     pub waited: Micros,
-    /// When the final answer is due.
+    /// When the final answer is due, µs.
     pub deadline: Micros,
-    /// It waits for its release.
+    /// Whether it is held: by its pacer or for a reply of the shared counter.
     pub held: bool,
     pub within_quota: bool,
-    /// A streamed answer has begun.
+    /// Whether a streamed answer has begun.
     pub started: bool,
-    /// The client has its final answer or has left.
+    /// Whether the client has its final answer or has disconnected.
     pub finished: bool,
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// An attempt is in flight.
+    /// Whether any attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -60,7 +60,7 @@
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 
-    /// The first attempt that may have run, or that is in flight and may run yet.
+    /// The first attempt that may have run, or that is in flight and may still run.
     pub fn first_that_may_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run || attempt.in_flight)
     }
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -1,26 +1,28 @@
-//! The servers of the back end as listed, with the state kept for each.
+//! The servers of the back end by the server list, with the state kept for each.
 
-use crate::api::{ServerEntry, ListKind, Micros, ServerId, State};
+use crate::api::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use crate::load_balancing::ServerLoad;
 use crate::outlier_detection::Health;
 use crate::random::Random;
 use crate::slow_start::SlowStart;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One server.
+/// A server with its state at this gateway.
 pub(crate) struct Server {
-    /// What the list says of it.
+    /// Its latest entry in the list.
     pub entry: ServerEntry,
     pub load: ServerLoad,
     pub health: Health,
     pub slow_start: SlowStart,
 }
 
-/// All servers of the list, and those removed from it that still hold requests.
+/// All servers in the list, and those removed from it with attempts of this gateway in flight.
 #[derive(Default)]
 pub(crate) struct Servers {
     by_id: BTreeMap<ServerId, Server>,
+    /// Servers that accept requests, in order of their ids.
     ready: Vec<ServerId>,
+    /// Ready servers of which it is not known that they are warm.
     maybe_warming_up: Vec<ServerId>,
 }
 
@@ -37,28 +39,29 @@
         self.by_id.values_mut()
     }
 
-    /// The ready servers, in order of their ids.
+    /// Ids of the ready servers, in ascending order.
     pub fn ready(&self) -> &[ServerId] {
         &self.ready
     }
 
-    /// A server of the list of ready ones.
+    /// The server with an id from [`Servers::ready`].
     pub fn ready_server(&self, id: ServerId) -> &Server {
         &self.by_id[&id]
     }
 
-    /// The ready servers that may still be warming up.
+    /// Ids of the ready servers that may still be warming up.
     pub fn maybe_warming_up(&self) -> &[ServerId] {
         &self.maybe_warming_up
     }
 
-    /// Forgets servers that are warm.
+    /// Removes the servers that are warm from [`Servers::maybe_warming_up`].
     pub fn retain_warming_up(&mut self, is_warming_up: impl Fn(&Server) -> bool) {
         let by_id = &self.by_id;
         self.maybe_warming_up.retain(|id| is_warming_up(&by_id[id]));
     }
 
-    /// Applies an update of the list. A server that restarted is a new one.
+    /// Applies an update of the list. The state of a server that became ready again, as after a restart,
+    /// starts anew, except for its attempts in flight.
     pub fn update(&mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>, random: &mut Random) {
         if kind != ListKind::Delta {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
@@ -69,7 +72,8 @@
         for entry in entries {
             self.update_entry(now, entry, random);
         }
-        self.by_id.retain(|_, server| server.entry.state != ServerState::Removed || server.load.in_flight() > 0);
+        self.by_id
+            .retain(|_, server| server.entry.state != ServerState::Removed || server.load.in_flight() > 0);
         let ready = self.by_id.iter().filter(|(_, server)| server.entry.state == ServerState::Ready);
         self.ready = ready.map(|(id, _)| *id).collect();
         self.maybe_warming_up.clone_from(&self.ready);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -60,7 +60,14 @@
 }
 
 pub fn entry(server: u64, zone: u32) -> ServerEntry {
-    ServerEntry { server: ServerId(server), state: ServerState::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
+    ServerEntry {
+        server: ServerId(server),
+        state: ServerState::Ready,
+        ready_at: 0,
+        size: 1.0,
+        zone,
+        cell: zone,
+    }
 }
 
 /// A gateway with its clock, its pending timers and what it did last.
--- a/tests/few.rs
+++ b/tests/few.rs
@@ -8,7 +8,8 @@
 fn rig() -> Rig {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
+    s.classes =
+        vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     Rig::new(s, &(0..60).map(|k| entry(k + 1, k as u32 % 3)).collect::<Vec<_>>())
 }
 
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -26,7 +26,12 @@
         Status::Reset,
         Status::Timeout,
     ]);
-    let state = prop::sample::select(vec![ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Removed]);
+    let state = prop::sample::select(vec![
+        ServerState::Ready,
+        ServerState::Ready,
+        ServerState::Draining,
+        ServerState::Removed,
+    ]);
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
@@ -122,7 +127,12 @@
 fn play(steps: Vec<Step>) {
     let mut s = settings();
     let keyed = |scope| class(Effect::Deduplicated { scope, window: 500 * MS });
-    s.classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent), keyed(DedupScope::Zone), keyed(DedupScope::All)];
+    s.classes = vec![
+        class(Effect::Idempotent),
+        class(Effect::NonIdempotent),
+        keyed(DedupScope::Zone),
+        keyed(DedupScope::All),
+    ];
     s.plans[0] =
         Plan { ceiling_rate: 6.0, ceiling_burst: 8.0, ceiling_slack: 2.0, rate: 5.0, burst: 8.0, ..plan() };
     let servers: Vec<_> = (1..5).map(|k| entry(k, (k % 2) as u32)).collect();
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -200,7 +200,8 @@
                 *g = fresh(me, 2 + step);
             }
             let list = |(server, at): &(u64, Micros)| {
-                let state = if now < at + S || *server == 22 { ServerState::Ready } else { ServerState::Removed };
+                let state =
+                    if now < at + S || *server == 22 { ServerState::Ready } else { ServerState::Removed };
                 ServerEntry { ready_at: *at, state, ..entry(*server, 0) }
             };
             let entries = starts.iter().filter(|(_, at)| now >= *at).map(list).collect();
@@ -318,8 +319,17 @@
             }
             let (id, attempt, status, elapsed) = (RequestId(*id), 0, Status::Ok, 900 * MS);
             let (server, usage, settled_units, load, request_finished) = (*server, None, None, None, true);
-            let end =
-                Event::AttemptEnded { id, attempt, server, status, elapsed, request_finished, usage, settled_units, load };
+            let end = Event::AttemptEnded {
+                id,
+                attempt,
+                server,
+                status,
+                elapsed,
+                request_finished,
+                usage,
+                settled_units,
+                load,
+            };
             all[*me].handle(*at, end, &mut Vec::new());
             false
         });
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -116,7 +116,8 @@
 fn a_cheap_class_is_served_beside_attempts_that_fell_silent_where_the_part_is_a_few() {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
+    s.classes =
+        vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     let mut rig = Rig::new(s, &(1..=60).map(|k| entry(k, 0)).collect::<Vec<_>>());
     let (mut answered, mut cheap) = (Vec::new(), 0);
     // One request in four, once a second, goes to a server that says nothing; nobody else takes long.
