--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -17,12 +17,12 @@
 }
 
 impl Gate for ZoneGate {
-    fn open(&mut self, now: Micros, attempting: &PendingAttempt) -> u64 {
-        let ask = Ask { safe: attempting.safe, worth: attempting.priority_weight };
+    fn open_zones(&mut self, now: Micros, attempting: &PendingAttempt) -> u64 {
+        let ask = Ask { safe: attempting.idempotent, worth: attempting.priority_weight };
         self.zones.as_mut().map_or(u64::MAX, |zones| zones.open(now, ask))
     }
 
-    fn sent(&mut self, now: Micros, _: RequestId, zone: u32) {
+    fn record_send(&mut self, now: Micros, _: RequestId, zone: u32) {
         if let Some(zones) = &mut self.zones {
             zones.sent(now, zone);
         }
@@ -71,10 +71,10 @@
     }
 
     /// Takes the whole list.
-    pub fn list(&mut self, now: Micros, entries: &[frostgauge::Entry]) {
+    pub fn list(&mut self, now: Micros, entries: &[frostgauge::ServerEntry]) {
         self.places = entries.iter().map(|e| (e.server, e.zone)).collect();
         let Some(zones) = &mut self.zones else { return };
-        let ready = |e: &frostgauge::Entry| e.state == frostgauge::State::Ready;
+        let ready = |e: &frostgauge::ServerEntry| e.state == frostgauge::ServerState::Ready;
         let nodes: Vec<Node> = entries
             .iter()
             .map(|e| Node { id: e.server.0, zone: e.zone, ready: ready(e), started: e.ready_at })
--- a/crates/settings/src/decision_settings.rs
+++ b/crates/settings/src/decision_settings.rs
@@ -16,7 +16,7 @@
         classes: file.classes.values().map(class).collect(),
         plans: file.plans.values().map(plan).collect(),
         capabilities: capabilities(file),
-        rules: frostgauge::Rules {
+        backend_limits: frostgauge::BackendLimits {
             answer_slack: file.limits.answer_margin_ms * MS,
             slow_start_share: file.rules.slow_start_share,
             slow_start_time: file.rules.slow_start_ms * MS,
@@ -28,13 +28,13 @@
 
 fn effect(effect: &Effect) -> frostgauge::Effect {
     match effect {
-        Effect::Safe => frostgauge::Effect::Safe,
-        Effect::Unsafe => frostgauge::Effect::Fragile,
-        Effect::Keyed { group, window_ms } => frostgauge::Effect::Keyed {
-            group: match group {
-                Group::All => frostgauge::Group::All,
-                Group::Zone => frostgauge::Group::Zone,
-                Group::Cell => frostgauge::Group::Cell,
+        Effect::Safe => frostgauge::Effect::Idempotent,
+        Effect::Unsafe => frostgauge::Effect::NonIdempotent,
+        Effect::Keyed { group, window_ms } => frostgauge::Effect::Deduplicated {
+            scope: match group {
+                Group::All => frostgauge::DedupScope::All,
+                Group::Zone => frostgauge::DedupScope::Zone,
+                Group::Cell => frostgauge::DedupScope::Cell,
             },
             window: window_ms * MS,
         },
@@ -78,10 +78,10 @@
         peer_messages_per_s: file.fleet.peer_in_per_s,
         clients_mark_retries: true,
         usage_period: file.limits.meter_ms * MS,
-        reports: match file.limits.reports {
-            crate::Reports::Answers => frostgauge::Reports::Answers,
-            crate::Reports::Probe => frostgauge::Reports::Probe,
-            crate::Reports::None => frostgauge::Reports::None,
+        load_reports: match file.limits.reports {
+            crate::Reports::Answers => frostgauge::LoadReports::Answers,
+            crate::Reports::Probe => frostgauge::LoadReports::Probe,
+            crate::Reports::None => frostgauge::LoadReports::None,
         },
         shared_counter: file.counter.is_some(),
         counter_call_timeout: file.counter.as_ref().map_or(0, |c| c.limit_ms * MS),
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -4,7 +4,9 @@
 use crate::fields::Fields;
 use crate::instance::{hash, Instance};
 use base64::{prelude::BASE64_STANDARD, Engine};
-use frostgauge::{CounterId, CustomerId, Entry, Event, ListKind, Load, ServerId, State, Status, TimerId};
+use frostgauge::{
+    CounterId, CustomerId, Event, ListKind, Load, ServerEntry, ServerId, ServerState, Status, TimerId,
+};
 use serde_json::Value;
 
 /// Bit of a request's flags: the client marked it as a retry.
@@ -15,9 +17,9 @@
     let event = match name {
         "targets" => servers(instance, fields)?,
         "demand" => request(instance, fields)?,
-        "established" => Event::Started { id: instance.known_request_id(fields.text(0, "call")?)? },
+        "established" => Event::AnswerStarted { id: instance.known_request_id(fields.text(0, "call")?)? },
         "finished" => outcome(instance, fields)?,
-        "gone" => Event::ClientGone { id: instance.request_id(fields.text(0, "call")?) },
+        "gone" => Event::ClientDisconnected { id: instance.request_id(fields.text(0, "call")?) },
         "due" => timer(fields)?,
         "checkResult" => Event::ProbeResult {
             server: server(instance, fields, 1)?,
@@ -44,14 +46,14 @@
     Ok(Event::Servers { kind, entries })
 }
 
-fn entry(instance: &mut Instance, row: &Value) -> Result<Entry, FieldError> {
+fn entry(instance: &mut Instance, row: &Value) -> Result<ServerEntry, FieldError> {
     let row = Fields(row.as_array().ok_or(FieldError("records"))?);
-    Ok(Entry {
+    Ok(ServerEntry {
         cell: row.whole(0, "pod")? as u32,
         state: match row.whole(1, "readiness")? {
-            0 => State::Gone,
-            1 => State::Ready,
-            2 => State::Draining,
+            0 => ServerState::Removed,
+            1 => ServerState::Ready,
+            2 => ServerState::Draining,
             _ => return Err(FieldError("readiness")),
         },
         ready_at: row.whole(2, "readyAtUs")?,
@@ -78,13 +80,13 @@
 }
 
 fn outcome(instance: &mut Instance, fields: Fields) -> Result<Event, FieldError> {
-    Ok(Event::Outcome {
+    Ok(Event::AttemptEnded {
         id: instance.request_id(fields.text(0, "call")?),
         attempt: fields.whole(1, "hop")? as u32,
         server: server(instance, fields, 2)?,
         status: status(fields, 3)?,
         elapsed: fields.whole(4, "costTimeUs")?,
-        closed: fields.flag(5),
+        request_finished: fields.flag(5),
         usage: usage(fields.whole(6, "usage")?),
         settled_units: fields.get(7).and_then(Value::as_f64).filter(|units| *units > 0.0),
         load: load(instance, fields.get(8)),
@@ -113,7 +115,7 @@
     Ok(Event::CounterReply {
         counter: CounterId(counter.map_err(|_| FieldError("entryName"))?),
         total: if status == "OK" { Some(fields.number(2, "total")?) } else { None },
-        unsure: status == "DEADLINE_EXCEEDED",
+        may_have_added: status == "DEADLINE_EXCEEDED",
         elapsed: fields.whole(3, "costTimeUs")?,
     })
 }
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -13,7 +13,7 @@
     Arrive { class: usize, customer: u64, patience: u64 },
     End { pick: usize, status: Status },
     Leave { pick: usize },
-    List { server: u64, state: State },
+    List { server: u64, state: ServerState },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -26,7 +26,12 @@
         Status::Reset,
         Status::Timeout,
     ]);
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    let state = prop::sample::select(vec![
+        ServerState::Ready,
+        ServerState::Ready,
+        ServerState::Draining,
+        ServerState::Removed,
+    ]);
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
@@ -121,8 +126,13 @@
 
 fn play(steps: Vec<Step>) {
     let mut s = settings();
-    let keyed = |group| class(Effect::Keyed { group, window: 500 * MS });
-    s.classes = vec![class(Effect::Safe), class(Effect::Fragile), keyed(Group::Zone), keyed(Group::All)];
+    let keyed = |scope| class(Effect::Deduplicated { scope, window: 500 * MS });
+    s.classes = vec![
+        class(Effect::Idempotent),
+        class(Effect::NonIdempotent),
+        keyed(DedupScope::Zone),
+        keyed(DedupScope::All),
+    ];
     s.plans[0] =
         Plan { ceiling_rate: 6.0, ceiling_burst: 8.0, ceiling_slack: 2.0, rate: 5.0, burst: 8.0, ..plan() };
     let servers: Vec<_> = (1..5).map(|k| entry(k, (k % 2) as u32)).collect();
@@ -170,13 +180,13 @@
                 let closed = r.closed || status == Status::Ok;
                 r.closed = closed;
                 let attempt = attempt as u32;
-                w.event(Event::Outcome {
+                w.event(Event::AttemptEnded {
                     id,
                     attempt,
                     server,
                     status,
                     elapsed,
-                    closed,
+                    request_finished: closed,
                     usage: None,
                     settled_units: None,
                     load: None,
@@ -186,11 +196,11 @@
                 let open: Vec<_> = w.seen.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
                 let Some(id) = (!open.is_empty()).then(|| open[pick % open.len()]) else { continue };
                 w.seen.get_mut(&id).expect("just listed").closed = true;
-                w.event(Event::ClientGone { id });
+                w.event(Event::ClientDisconnected { id });
             }
             Step::List { server, state } => {
-                let e = Entry { state, ..entry(server, (server % 2) as u32) };
-                w.ready.insert(e.server, state == State::Ready);
+                let e = ServerEntry { state, ..entry(server, (server % 2) as u32) };
+                w.ready.insert(e.server, state == ServerState::Ready);
                 w.event(Event::Servers { kind: ListKind::Delta, entries: vec![e] });
             }
         }
