--- a/crates/connection-budget/src/policy.rs
+++ b/crates/connection-budget/src/policy.rs
@@ -42,7 +42,7 @@
 impl Budget {
     /// How long a gateway keeps an idle connection at most, milliseconds: less than the server does, so that none goes
     /// out just as the server closes it.
-    pub fn max_idle_ms(&self) -> u64 {
+    pub fn gateway_idle_limit_ms(&self) -> u64 {
         self.idle_ms - self.idle_ms / 4
     }
 }
--- a/crates/gateway/src/upstream/budgeted_pool/mod.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/mod.rs
@@ -106,7 +106,7 @@
 
     /// How long a connection may be idle.
     fn idle_timeout(&self, permit: &ConnectionPermit) -> Duration {
-        let bound = self.budget(permit, |b| Duration::from_millis(b.max_idle_ms()));
+        let bound = self.budget(permit, |b| Duration::from_millis(b.gateway_idle_limit_ms()));
         bound.map_or(self.bounds.max_idle_time, |bound| bound.min(self.bounds.max_idle_time))
     }
 
