--- a/crates/connection-budget/src/policy.rs
+++ b/crates/connection-budget/src/policy.rs
@@ -190,7 +190,7 @@
 
 impl Policy {
     /// The budget of a server in a zone.
-    pub fn budget_of(&self, zone: &str) -> Option<(&str, &Budget)> {
+    pub fn budget_for_zone(&self, zone: &str) -> Option<(&str, &Budget)> {
         let with = |z: Option<&str>| self.budgets.iter().find(|(_, b)| b.zone.as_deref() == z);
         with(Some(zone)).or_else(|| with(None)).map(|(name, b)| (name.as_str(), b))
     }
--- a/crates/consensus/src/ruleset.rs
+++ b/crates/consensus/src/ruleset.rs
@@ -123,7 +123,7 @@
     /// How many connections a server accepts from the fleet; none: it has no budget.
     pub fn connection_budget(&self, server: &str) -> Option<u32> {
         let zone = &self.servers.get(server)?.zone;
-        self.budgets.budget_of(zone).map(|(_, b)| b.connections)
+        self.budgets.budget_for_zone(zone).map(|(_, b)| b.connections)
     }
 
     /// Servers with a budget, and whether it limits anything: one of [`MAX_CONNECTIONS`] does not, and is how a fleet
--- a/crates/system-test/src/fleet_rules.rs
+++ b/crates/system-test/src/fleet_rules.rs
@@ -44,7 +44,7 @@
 impl Accord {
     /// After how long nodes of a zone close an idle connection; 0: never.
     pub fn idle_ms(&self, zone: &str) -> u64 {
-        self.budgets.budget_of(zone).map_or(0, |(_, b)| b.idle_ms)
+        self.budgets.budget_for_zone(zone).map_or(0, |(_, b)| b.idle_ms)
     }
 }
 
