--- a/crates/connection-budget/src/lib.rs
+++ b/crates/connection-budget/src/lib.rs
@@ -44,4 +44,4 @@
 pub use spreading::{fill_evenly, spread_evenly};
 pub use tenant_class::TenantClass;
 pub use terms::{TermSources, Terms};
-pub use verification::{NameKind, PolicyError, PolicyProblem, MAX_CONNECTIONS};
+pub use verification::{NameKind, PolicyError, PolicyProblem, MAX_CONNECTIONS_PER_SERVER};
--- a/crates/connection-budget/src/verification/limits.rs
+++ b/crates/connection-budget/src/verification/limits.rs
@@ -8,7 +8,7 @@
 
 /// Connections of one server at most, so that sums stay small. A budget of so many binds nobody: gateways that never
 /// heard of it keep it too.
-pub const MAX_CONNECTIONS: u32 = 1_000_000;
+pub const MAX_CONNECTIONS_PER_SERVER: u32 = 1_000_000;
 /// Durations of a budget at most, milliseconds: a day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
@@ -42,8 +42,8 @@
         errors.push(PolicyError::new(format!("budgets.{name}.{field}"), reason));
     };
     let connections = budget.connections;
-    if connections == 0 || connections > MAX_CONNECTIONS {
-        push("connections", PolicyProblem::ConnectionsOutOfRange { connections, max: MAX_CONNECTIONS });
+    if connections == 0 || connections > MAX_CONNECTIONS_PER_SERVER {
+        push("connections", PolicyProblem::ConnectionsOutOfRange { connections, max: MAX_CONNECTIONS_PER_SERVER });
     }
     let durations =
         [("attempt_ms", budget.attempt_ms), ("turn_ms", budget.rotation_ms), ("idle_ms", budget.idle_ms)];
--- a/crates/consensus/src/ruleset.rs
+++ b/crates/consensus/src/ruleset.rs
@@ -2,7 +2,7 @@
 
 mod validation;
 
-use frostgauge_connection_budget::{CompiledPolicy, Inventory, Policy, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{CompiledPolicy, Inventory, Policy, MAX_CONNECTIONS_PER_SERVER};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -126,14 +126,14 @@
         self.budgets.budget_for_zone(zone).map(|(_, b)| b.connections)
     }
 
-    /// Servers with a budget, and whether it limits anything: one of [`MAX_CONNECTIONS`] does not, and is how a fleet
+    /// Servers with a budget, and whether it limits anything: one of [`MAX_CONNECTIONS_PER_SERVER`] does not, and is how a fleet
     /// learns that a server is to have one.
     pub fn budgeted_servers(&self) -> BTreeMap<String, bool> {
         if self.budgets.budgets.is_empty() {
             return BTreeMap::new();
         }
         let all = self.servers.keys().filter_map(|name| Some((name, self.connection_budget(name)?)));
-        all.map(|(name, n)| (name.clone(), n < MAX_CONNECTIONS)).collect()
+        all.map(|(name, n)| (name.clone(), n < MAX_CONNECTIONS_PER_SERVER)).collect()
     }
 }
 
--- a/crates/consensus/tests/common/sample.rs
+++ b/crates/consensus/tests/common/sample.rs
@@ -3,7 +3,7 @@
 
 use frostgauge_connection_budget::{
     Budget, Condition, Demand, GatewayReport, Loan, Policy, Rule, Selector, TenantClass, TermOverrides,
-    MAX_CONNECTIONS,
+    MAX_CONNECTIONS_PER_SERVER,
 };
 use frostgauge_consensus::{
     Class, GatewayId, LeaseRequest, Message, Plan, Proposal, Replica, Rules, Server, ServerState, Tenant,
@@ -53,7 +53,7 @@
         attempt_ms: 15_000,
         rotation_ms: 2_000,
     };
-    let rest = Budget { zone: None, connections: MAX_CONNECTIONS, ..north.clone() };
+    let rest = Budget { zone: None, connections: MAX_CONNECTIONS_PER_SERVER, ..north.clone() };
     let floor = Rule {
         name: "floor of sul".into(),
         select: Selector { tenants: set(["sul"]), zones: set(["north"]), ..Selector::default() },
--- a/crates/consensus/tests/ruleset.rs
+++ b/crates/consensus/tests/ruleset.rs
@@ -1,6 +1,6 @@
 //! What contradicts what, what ground is, and what may follow, over drawn rules.
 
-use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS_PER_SERVER};
 use frostgauge_consensus::{
     changed_paths, fallback_violations, find_conflicts, Class, Entry, Outcome, Plan, Proposal, Rules, Server,
     ServerState, StateMachine, Tenant, TimingSettings, Version, VersionError, FORMAT,
@@ -45,7 +45,7 @@
 
 /// None, one that binds nobody, one that binds.
 fn budgets(which: u8, servers: usize) -> Policy {
-    let connections = [0, MAX_CONNECTIONS, 10][usize::from(which)];
+    let connections = [0, MAX_CONNECTIONS_PER_SERVER, 10][usize::from(which)];
     let (idle_ms, attempt_ms, turn_ms) = (1_000, 1_000, 1_000);
     let budget = Budget { zone: None, connections, idle_ms, attempt_ms, rotation_ms: turn_ms };
     let some = (which > 0 && servers > 0).then(|| ("all".to_owned(), budget));
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -8,7 +8,7 @@
 mod sample;
 
 use fixture::{assert_same_files, files, hex, Files, TestFolder};
-use frostgauge_connection_budget::{BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS_PER_SERVER};
 use frostgauge_consensus::{
     Attestation, Configuration, Entry, FieldError, GatewayId, Message, Outcome, PermitChange, Replica,
     ServerState, StateMachine, Version, VersionNumber,
@@ -150,13 +150,13 @@
         ledger.scopes().map(|(place, most)| (place.clone(), most)).collect();
     let expected = [
         (BudgetScope::server("a"), 12),
-        (BudgetScope::server("c"), MAX_CONNECTIONS),
+        (BudgetScope::server("c"), MAX_CONNECTIONS_PER_SERVER),
         (purse("north", "norte", None), 12),
         (purse("north", "sul", None), 9),
         (purse("north", "sul", Some("report")), 12),
-        (purse("rest", "norte", None), MAX_CONNECTIONS),
-        (purse("rest", "sul", None), MAX_CONNECTIONS),
-        (purse("rest", "sul", Some("report")), MAX_CONNECTIONS),
+        (purse("rest", "norte", None), MAX_CONNECTIONS_PER_SERVER),
+        (purse("rest", "sul", None), MAX_CONNECTIONS_PER_SERVER),
+        (purse("rest", "sul", Some("report")), MAX_CONNECTIONS_PER_SERVER),
     ];
     assert_eq!(places, expected);
     let slots = PermitCounts { held: 4, target: 4, fallback: 1 };
--- a/crates/fleet-simulator/tests/budgets.rs
+++ b/crates/fleet-simulator/tests/budgets.rs
@@ -2,7 +2,7 @@
 //! servers had open.
 
 use frostgauge_connection_budget::{
-    BudgetScope, Condition, Rule, Selector, TenantClass, TermOverrides, MAX_CONNECTIONS,
+    BudgetScope, Condition, Rule, Selector, TenantClass, TermOverrides, MAX_CONNECTIONS_PER_SERVER,
 };
 use frostgauge_consensus::{GatewayId, Message, Outcome, Rules};
 use frostgauge_fleet_agent::budget_shares;
@@ -158,14 +158,14 @@
         Outcome::BreaksFallback { conflicts, .. } => conflicts.iter().any(|p| p.path == "servers.s1.budget"),
         _ => false,
     });
-    let s = s.when_published(|r| budgets(r, MAX_CONNECTIONS)).after(6.0).then_all_are_under(2);
+    let s = s.when_published(|r| budgets(r, MAX_CONNECTIONS_PER_SERVER)).after(6.0).then_all_are_under(2);
     let s = s.when_published(|r| connections(r, 4)).after(8.0).then_numbered(3).then_all_are_under(3);
     drop(s.then_no_one_contradicts());
 }
 
 #[test]
 fn where_a_budget_begins_to_bind_what_is_open_without_a_slot_is_closed_first() {
-    let mut s = given(fleet(6, MAX_CONNECTIONS)).after(3.0);
+    let mut s = given(fleet(6, MAX_CONNECTIONS_PER_SERVER)).after(3.0);
     let before = open(&mut s);
     let mut s = s.when_published(|r| budgets(r, 1)).after(10.0).then_all_are_under(2);
     assert!(before > 6 && open(&mut s) <= 6, "{before}, then {}", open(&mut s));
