--- a/crates/connection-budget/src/ledger.rs
+++ b/crates/connection-budget/src/ledger.rs
@@ -273,13 +273,13 @@
 
     /// A gateway has gone for good, and its connections with it.
     pub fn retire(&mut self, gateway: GatewayId) {
-        self.process_left(gateway);
+        self.process_drained(gateway);
         self.earlier_processes_ended(gateway);
     }
 
     /// A gateway's process has closed all its connections, and opens none any more. The gateway is granted nothing before
     /// another process of it has begun.
-    pub fn process_left(&mut self, gateway: GatewayId) {
+    pub fn process_drained(&mut self, gateway: GatewayId) {
         self.scopes.values_mut().for_each(|state| {
             state.permits.remove(&gateway);
         });
--- a/crates/consensus/src/permit_state.rs
+++ b/crates/consensus/src/permit_state.rs
@@ -153,7 +153,7 @@
             PermitChange::GatewayLeft { gateway, incarnation } => {
                 if self.ledger.incarnation(gateway) == Some(incarnation) {
                     self.end_round(gateway);
-                    self.ledger.process_left(gateway);
+                    self.ledger.process_drained(gateway);
                 }
             }
             PermitChange::Attested { voter, nonce, gateway, round, attestation } => {
