--- a/crates/connection-budget/src/demand_meter.rs
+++ b/crates/connection-budget/src/demand_meter.rs
@@ -75,7 +75,7 @@
 
     /// A request found no connection, and did not wait: it counts as one that holds a connection for a part of the window
     /// (how long it would have held it is not known).
-    pub fn missed(&mut self, now: u64, group: &str, tenant_class: &TenantClass) {
+    pub fn record_unserved_request(&mut self, now: u64, group: &str, tenant_class: &TenantClass) {
         self.begin(now, group, tenant_class);
         self.end(now, group, tenant_class);
         if let Some(usage) = self.by_tenant.get_mut(&(group.to_owned(), tenant_class.clone())) {
--- a/crates/fleet-agent/src/permits.rs
+++ b/crates/fleet-agent/src/permits.rs
@@ -101,7 +101,7 @@
 
     pub(crate) fn demand_missed(&mut self, now: Micros, permit: &ConnectionPermit) {
         if permit.budgeted {
-            self.demand.missed(now, &permit.group, &permit.tenant_class);
+            self.demand.record_unserved_request(now, &permit.group, &permit.tenant_class);
         }
     }
 
