--- a/crates/connection-budget/src/gateway_permits.rs
+++ b/crates/connection-budget/src/gateway_permits.rs
@@ -25,7 +25,7 @@
 
 impl ConnectionPermit {
     /// The server and the tenant at its group.
-    pub fn scopes(&self) -> [BudgetScope; 2] {
+    pub fn newest_permits(&self) -> [BudgetScope; 2] {
         [BudgetScope::server(&self.server), BudgetScope::tenant(&self.group, &self.tenant_class)]
     }
 
@@ -73,7 +73,7 @@
         now: u64,
         group: &'a str,
     ) -> impl Iterator<Item = &'a TenantClass> {
-        self.grants.scopes().filter_map(move |(scope, _)| match scope {
+        self.grants.newest_permits().filter_map(move |(scope, _)| match scope {
             BudgetScope::Tenant(of, tenant_class) if of == group && self.has_room(now, scope) => {
                 Some(tenant_class)
             }
@@ -157,7 +157,7 @@
 
     /// The report to the replicas: the epoch known, and how many connections are open where permits are recalled.
     pub fn report(&self) -> GatewayReport {
-        let recalled = self.grants.scopes().filter(|(_, permits)| permits.is_being_recalled());
+        let recalled = self.grants.newest_permits().filter(|(_, permits)| permits.is_being_recalled());
         let open_counts = recalled.map(|(scope, _)| (scope.clone(), self.open_count(scope)));
         GatewayReport {
             seen_epoch: self.grants.newest_epoch(),
--- a/crates/connection-budget/src/received_grants.rs
+++ b/crates/connection-budget/src/received_grants.rs
@@ -111,7 +111,7 @@
     }
 
     /// The permits of the newest grant.
-    pub fn scopes(&self) -> impl Iterator<Item = (&BudgetScope, &PermitCounts)> {
+    pub fn newest_permits(&self) -> impl Iterator<Item = (&BudgetScope, &PermitCounts)> {
         self.permits.get(&self.newest_epoch).into_iter().flat_map(|permits| permits.iter())
     }
 }
--- a/crates/fleet-agent/src/attempt_guard/connections.rs
+++ b/crates/fleet-agent/src/attempt_guard/connections.rs
@@ -109,7 +109,7 @@
 
     /// Whether the gateway has any permits.
     pub fn has_permits(&self) -> bool {
-        self.view.permits.scopes().next().is_some()
+        self.view.permits.newest_permits().next().is_some()
     }
 
     /// Whether no connection is open at all.
