--- a/crates/connection-budget/src/allocator.rs
+++ b/crates/connection-budget/src/allocator.rs
@@ -15,7 +15,7 @@
     /// By tenant.
     pub by_tenant: BTreeMap<TenantClass, BTreeMap<GatewayId, Demand>>,
     /// Peak of all tenants together.
-    pub by_gateway: BTreeMap<GatewayId, u32>,
+    pub peak_by_gateway: BTreeMap<GatewayId, u32>,
 }
 
 /// What gateways want, by group.
--- a/crates/connection-budget/src/group_allocation.rs
+++ b/crates/connection-budget/src/group_allocation.rs
@@ -164,7 +164,7 @@
         targets: &GroupTargets,
     ) -> BTreeMap<GatewayId, u64> {
         let fallback = |gateway: &GatewayId| targets.servers.get(gateway).map_or(0, |t| t.fallback);
-        let unmet = (demand.into_iter().flat_map(|d| &d.by_gateway))
+        let unmet = (demand.into_iter().flat_map(|d| &d.peak_by_gateway))
             .map(|(gateway, peak)| (*gateway, u64::from(peak.saturating_sub(fallback(gateway))) * MILLI))
             .filter(|(_, milli)| *milli > 0);
         let available = (self.connections * MILLI).saturating_sub(targets.reserved_milli);
--- a/crates/connection-budget/tests/allocator.rs
+++ b/crates/connection-budget/tests/allocator.rs
@@ -50,7 +50,7 @@
         all.by_tenant.entry(holder(tenant)).or_default().insert(gateway, Demand { peak, mean_milli });
         let at = |h: &BTreeMap<GatewayId, Demand>| h.get(&gateway).map_or(0, |w| w.peak);
         let sum = all.by_tenant.values().map(at).sum();
-        all.by_gateway.insert(gateway, sum);
+        all.peak_by_gateway.insert(gateway, sum);
     }
 
     fn want_all(&mut self, tenant: &str, most: u32, mean_milli: u64) {
--- a/crates/consensus/src/permit_issuer/allocation.rs
+++ b/crates/consensus/src/permit_issuer/allocation.rs
@@ -98,7 +98,7 @@
             group.by_tenant.entry(tenant.clone()).or_default().insert(*gateway, *wanted);
         }
         for (group, peak) in &last.report.group_peaks {
-            demand.entry(group.clone()).or_default().by_gateway.insert(*gateway, *peak);
+            demand.entry(group.clone()).or_default().peak_by_gateway.insert(*gateway, *peak);
         }
     }
     demand
