--- a/crates/connection-budget/src/compiled_policy.rs
+++ b/crates/connection-budget/src/compiled_policy.rs
@@ -85,7 +85,7 @@
     }
 
     /// Connections that a group's servers hold together.
-    pub fn connections(&self, budget: &str) -> u64 {
+    pub fn total_connections(&self, budget: &str) -> u64 {
         let per_server = self.policy.budgets.get(budget).map_or(0, |b| u64::from(b.connections));
         per_server * self.servers(budget).len() as u64
     }
--- a/crates/connection-budget/src/verification/terms.rs
+++ b/crates/connection-budget/src/verification/terms.rs
@@ -24,7 +24,7 @@
                 errors.extend(case.recall_too_fast(terms));
                 errors.extend(case.ceiling_below_floor(tenant_class, terms));
             }
-            errors.extend(case.floors_above_budget(&terms, compiled.connections(budget)));
+            errors.extend(case.floors_above_budget(&terms, compiled.total_connections(budget)));
         }
     }
     errors
--- a/crates/connection-budget/tests/policy.rs
+++ b/crates/connection-budget/tests/policy.rs
@@ -45,7 +45,7 @@
         { "name": "in the dark", "when": ["dark"], "select": { "plans": ["alargado"] }, "set": { "floor": 6, "weight": 5 } },
         { "name": "photos", "select": { "classes": ["photo"] }, "set": { "ceiling": 2 } }]"#;
     let c = with(rules, DARK).expect("sound");
-    assert_eq!((c.connections("a"), c.servers("rest").len()), (20, 2));
+    assert_eq!((c.total_connections("a"), c.servers("rest").len()), (20, 2));
     let quiet = terms(&c, "a", "oeste", None, &[]);
     assert_eq!((quiet.floor, quiet.weight, quiet.ceiling), (4, 2, Some(8)));
     assert_eq!(
