--- a/crates/connection-budget/src/fair_rotation.rs
+++ b/crates/connection-budget/src/fair_rotation.rs
@@ -46,7 +46,7 @@
     }
 
     /// The longest wait between two turns, rounds, for a share in thousandths and turns of so many rounds.
-    pub fn longest_wait(share: u64, turn_rounds: u64) -> u64 {
+    pub fn longest_wait_rounds(share: u64, turn_rounds: u64) -> u64 {
         (3_000 * turn_rounds).div_ceil(share.max(1))
     }
 }
--- a/crates/connection-budget/tests/allocator.rs
+++ b/crates/connection-budget/tests/allocator.rs
@@ -186,7 +186,7 @@
     }
     // A part of a fifth, in turns of six rounds; what is called back is there a round later.
     assert!(
-        longest <= frostgauge_connection_budget::FairRotation::<GatewayId>::longest_wait(200, 6) + 2,
+        longest <= frostgauge_connection_budget::FairRotation::<GatewayId>::longest_wait_rounds(200, 6) + 2,
         "{longest} rounds"
     );
 }
--- a/crates/connection-budget/tests/max_min.rs
+++ b/crates/connection-budget/tests/max_min.rs
@@ -144,7 +144,7 @@
             prop_assert!(given.values().sum::<u64>() <= most);
             for (k, n) in given {
                 let wait = round - last.insert(k, round).unwrap_or(0);
-                prop_assert!(wait <= FairRotation::<usize>::longest_wait(parts[&k], 1), "{k} waited {wait} for {}", parts[&k]);
+                prop_assert!(wait <= FairRotation::<usize>::longest_wait_rounds(parts[&k], 1), "{k} waited {wait} for {}", parts[&k]);
                 *got.entry(k).or_default() += n;
             }
         }
