--- a/crates/connection-budget/src/group_allocation.rs
+++ b/crates/connection-budget/src/group_allocation.rs
@@ -107,7 +107,7 @@
             targets.add_fallback(tenant);
             let unmet = targets.add_demand(tenant);
             // Fallback permits are a tenant's own whether it uses them or not.
-            let available = tenant.share.milli.saturating_sub(tenant.fallback() * MILLI);
+            let available = tenant.share.connections_milli.saturating_sub(tenant.fallback() * MILLI);
             let of_gateways = fill_evenly(available, unmet, self.number);
             if !of_gateways.is_empty() {
                 let key = Some(tenant.tenant_class.clone());
@@ -134,7 +134,7 @@
             .collect();
         let shares = max_min_shares(self.connections, &claims);
         // By averages: what all want at the same time, and only then, they have in turn.
-        let scarce = claims.iter().zip(&shares).any(|(claim, share)| share.milli < claim.usable_milli());
+        let scarce = claims.iter().zip(&shares).any(|(claim, share)| share.connections_milli < claim.usable_milli());
         let unreachable = with_quorum_unreachable(policy, active_conditions);
         let fallback: BTreeMap<&TenantClass, u32> =
             policy.terms(self.group, &unreachable).map(|(t, terms)| (t, terms.fallback)).collect();
--- a/crates/connection-budget/src/max_min.rs
+++ b/crates/connection-budget/src/max_min.rs
@@ -81,13 +81,13 @@
     let available = total.saturating_sub(bounds.iter().map(Bounds::reserved).sum());
     let level = largest_level(total, available, &bounds);
     let mut shares: Vec<Share> = (bounds.iter())
-        .map(|b| Share { milli: b.share_at(level), floor_milli: b.floor, lent_milli: b.lent })
+        .map(|b| Share { connections_milli: b.share_at(level), floor_milli: b.floor, lent_milli: b.lent })
         .collect();
     // What is left is under a thousandth each: it goes to the first that can have it.
-    let mut rest = available.saturating_sub(shares.iter().map(|share| share.milli).sum());
+    let mut rest = available.saturating_sub(shares.iter().map(|share| share.connections_milli).sum());
     for (share, bounds) in shares.iter_mut().zip(&bounds) {
-        if rest > 0 && share.milli < bounds.usable && bounds.weight > 0 {
-            share.milli += 1;
+        if rest > 0 && share.connections_milli < bounds.usable && bounds.weight > 0 {
+            share.connections_milli += 1;
             rest -= 1;
         }
     }
--- a/crates/connection-budget/tests/max_min.rs
+++ b/crates/connection-budget/tests/max_min.rs
@@ -14,7 +14,7 @@
 }
 
 fn milli(connections: u64, claims: &[Claim]) -> Vec<u64> {
-    max_min_shares(connections, claims).iter().map(|s| s.milli).collect()
+    max_min_shares(connections, claims).iter().map(|s| s.connections_milli).collect()
 }
 
 #[test]
@@ -49,7 +49,7 @@
     assert_eq!(milli(10, &[idle, claim(0, 1, None, 99)]), [1_000, 4_000], "kept free");
     let lender = lends(idle, 3);
     let shares = max_min_shares(10, &[lender, claim(0, 1, None, 99)]);
-    assert_eq!((shares[0].milli, shares[0].lent_milli, shares[1].milli), (1_000, 3_000, 7_000));
+    assert_eq!((shares[0].connections_milli, shares[0].lent_milli, shares[1].connections_milli), (1_000, 3_000, 7_000));
     let back = Claim { demand_milli: 99_000, ..lender };
     assert_eq!(milli(10, &[back, claim(0, 1, None, 99)]), [6_000, 4_000]);
     // Everyone lends, and all ask back.
@@ -115,10 +115,10 @@
     #[test]
     fn shares_are_the_exact_weighted_max_min_to_a_thousandth_or_two((connections, claims) in claims()) {
         let shares = max_min_shares(connections, &claims);
-        let sum: u64 = shares.iter().map(|s| s.milli).sum();
+        let sum: u64 = shares.iter().map(|s| s.connections_milli).sum();
         prop_assert!(sum <= connections * 1_000);
         for (k, (got, want)) in shares.iter().zip(exact(connections as f64, &claims)).enumerate() {
-            prop_assert!((got.milli as f64 / 1e3 - want).abs() <= 0.003, "{k}: {} against {want}", got.milli);
+            prop_assert!((got.connections_milli as f64 / 1e3 - want).abs() <= 0.003, "{k}: {} against {want}", got.connections_milli);
         }
     }
 
@@ -126,8 +126,8 @@
     fn floors_that_are_wanted_are_had_and_no_ceiling_is_passed((connections, claims) in claims()) {
         for (share, c) in max_min_shares(connections, &claims).iter().zip(&claims) {
             let most = c.terms.ceiling.map_or(c.demand_milli / 1_000, |x| (c.demand_milli / 1_000).min(u64::from(x)));
-            prop_assert!(share.milli >= (u64::from(c.terms.floor) * 1_000).min(most * 1_000));
-            prop_assert!(share.milli <= most * 1_000);
+            prop_assert!(share.connections_milli >= (u64::from(c.terms.floor) * 1_000).min(most * 1_000));
+            prop_assert!(share.connections_milli <= most * 1_000);
         }
     }
 
