--- a/crates/connection-budget/src/gateway_permits.rs
+++ b/crates/connection-budget/src/gateway_permits.rs
@@ -25,7 +25,7 @@
 
 impl ConnectionPermit {
     /// The server and the tenant at its group.
-    pub fn newest_permits(&self) -> [BudgetScope; 2] {
+    pub fn scopes(&self) -> [BudgetScope; 2] {
         [BudgetScope::server(&self.server), BudgetScope::tenant(&self.group, &self.tenant_class)]
     }
 
--- a/crates/connection-budget/src/max_min.rs
+++ b/crates/connection-budget/src/max_min.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
     /// Thousandths of a connection.
-    pub milli: u64,
+    pub connections_milli: u64,
     /// Its floor as far as it can be kept, thousandths: less than the floor where servers are fewer than floors need.
     pub floor_milli: u64,
     /// Of its floor, what others have for now, thousandths at most: it has no use for it, and may lend it.
