--- a/crates/connection-budget/src/verification/error.rs
+++ b/crates/connection-budget/src/verification/error.rs
@@ -91,7 +91,7 @@
     },
     /// A duration is zero.
     #[error("is zero")]
-    Zero,
+    ZeroDuration,
     /// The idle limit is zero.
     #[error("is zero: what a stopped gateway held would never be free")]
     ZeroIdleLimit,
@@ -143,7 +143,7 @@
     NoServers,
     /// A rule applies to nobody.
     #[error("'{rule}' is for nobody: no tenant, class and group fit it")]
-    UnassignedRule {
+    UnmatchedRule {
         /// Its name.
         rule: String,
     },
--- a/crates/connection-budget/src/verification/limits.rs
+++ b/crates/connection-budget/src/verification/limits.rs
@@ -51,9 +51,9 @@
         push(field, PolicyProblem::AboveMaximum { value, max: MAX_DURATION_MS });
     }
     if budget.attempt_ms == 0 {
-        push("attempt_ms", PolicyProblem::Zero);
+        push("attempt_ms", PolicyProblem::ZeroDuration);
     } else if budget.rotation_ms == 0 {
-        push("turn_ms", PolicyProblem::Zero);
+        push("turn_ms", PolicyProblem::ZeroDuration);
     }
     if budget.idle_ms == 0 {
         push("idle_ms", PolicyProblem::ZeroIdleLimit);
--- a/crates/connection-budget/src/verification/reachability.rs
+++ b/crates/connection-budget/src/verification/reachability.rs
@@ -18,7 +18,7 @@
     let errors = unused.map(|(index, rule)| {
         let rule = rule.name.clone();
         let reason = if !compiled.is_assigned(index) {
-            PolicyProblem::UnassignedRule { rule }
+            PolicyProblem::UnmatchedRule { rule }
         } else if !combinations.iter().any(|active| compiled.rule_holds(index, active)) {
             PolicyProblem::ContradictoryRule { rule }
         } else {
