--- a/crates/consensus/src/effective_rules.rs
+++ b/crates/consensus/src/effective_rules.rs
@@ -203,8 +203,8 @@
 /// gateways use them.
 ///
 /// A server that gets a budget breaks the fallback rules of those who open connections there without permits: a budget
-/// of [`MAX_CONNECTIONS_PER_SERVER`](frostgauge_connection_budget::MAX_CONNECTIONS_PER_SERVER) comes first, which forbids nothing and makes
-/// all ask for permits.
+/// of [`MAX_CONNECTIONS_PER_SERVER`](frostgauge_connection_budget::MAX_CONNECTIONS_PER_SERVER) comes first, which
+/// forbids nothing and makes all ask for permits.
 ///
 /// A server that goes from ready to draining breaks nothing: a draining server says so in its responses, and under
 /// fallback rules only those count. One that vanishes, or moves, without having drained first does. A floor may not be
