--- a/crates/connection-budget/src/lib.rs
+++ b/crates/connection-budget/src/lib.rs
@@ -1,9 +1,10 @@
-//! Budgets of connections at groups of servers, shared among tenants by a policy, and over gateways in turn.
+//! Budgets of connections at groups of servers, which a policy divides among tenants and, for each tenant, among gateways.
 //!
-//! Free of I/O and of floating point: the same numbers come out wherever it is computed. A [`Policy`] is data; it is
-//! compiled once ([`CompiledPolicy`]) and verified for every combination of its conditions; shares come from weighted
-//! max-min within floors and ceilings ([`max_min_shares`]); whole connections go round by [`FairRotation`]; an
-//! [`Allocator`] turns them into changes of the [`PermitLedger`]. See `docs/connection-budget.md`.
+//! The crate does no I/O and uses no floating point, so every process computes the same numbers. A [`Policy`] is data; it
+//! is compiled once ([`CompiledPolicy`]) and verified for every combination of its conditions. Tenants' shares are
+//! weighted max-min shares within floors and ceilings ([`max_min_shares`]). A [`FairRotation`] turns fractional shares
+//! into whole connections, and an [`Allocator`] turns those into changes of the [`PermitLedger`]. See
+//! `docs/connection-budget.md`.
 
 mod allocator;
 mod compiled_policy;
--- a/crates/connection-budget/src/rule_guard.rs
+++ b/crates/connection-budget/src/rule_guard.rs
@@ -1,19 +1,20 @@
-//! When a rule holds: all conditions that it names must, and those that it negates must not.
+//! When a rule applies: all conditions that it names must be active, and all that it negates must not be.
 
 use crate::policy::{minute_in_range, Condition, Policy, Rule, MAX_CONDITIONS, MINUTES_PER_DAY};
 use std::collections::BTreeSet;
 
-/// Combinations of conditions that are verified at most.
+/// Maximum number of combinations of conditions for which a policy is verified.
 pub const MAX_CONDITION_COMBINATIONS: usize = 1 << MAX_CONDITIONS;
 
-/// A condition that a rule names, and whether it must be active.
+/// A condition that a rule names or negates.
 #[derive(Clone, Debug)]
 struct Literal {
     condition: String,
+    /// Whether the condition must be active; false if the rule negates it.
     active: bool,
 }
 
-/// The conditions of one rule.
+/// The conditions of one rule, all of which must be met.
 #[derive(Clone, Debug)]
 pub(crate) struct RuleGuard {
     literals: Vec<Literal>,
@@ -28,13 +29,14 @@
         RuleGuard { literals: literals.collect() }
     }
 
-    /// Whether the rule holds while exactly these conditions are active.
+    /// Whether the rule applies while exactly these conditions are active.
     pub(crate) fn holds(&self, active_conditions: &BTreeSet<String>) -> bool {
         self.literals.iter().all(|literal| active_conditions.contains(&literal.condition) == literal.active)
     }
 }
 
-/// Every combination of a policy's conditions that can occur.
+/// The sets of a policy's conditions that can be active at the same time. Sets that no minute of the day allows are left
+/// out: two times of day that do not overlap are never active together.
 pub(crate) fn condition_combinations(policy: &Policy) -> Vec<BTreeSet<String>> {
     let names: Vec<&String> = policy.conditions.keys().collect();
     let combinations = (0..1usize << names.len().min(MAX_CONDITIONS)).map(|bits| {
@@ -54,7 +56,7 @@
             _ => None,
         })
         .collect();
-    let fits =
+    let matches =
         |minute: u16| ranges.iter().all(|(active, from, to)| minute_in_range(minute, *from, *to) == *active);
-    ranges.is_empty() || (0..MINUTES_PER_DAY).any(fits)
+    ranges.is_empty() || (0..MINUTES_PER_DAY).any(matches)
 }
--- a/crates/connection-budget/src/tenant_class.rs
+++ b/crates/connection-budget/src/tenant_class.rs
@@ -1,12 +1,12 @@
-//! The unit that the policy gives a share to.
+//! The unit to which a policy assigns a share of connections.
 
 use serde::{Deserialize, Serialize};
 
-/// A tenant in one class that some rule names, or in all the other classes together.
+/// A tenant's requests of one class, if some rule of the policy names that class, or of all the other classes together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TenantClass {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The class; none: all classes that no rule names.
+    /// Name of the class; none: all classes without a share of their own.
     pub class: Option<String>,
 }
--- a/crates/connection-budget/src/terms.rs
+++ b/crates/connection-budget/src/terms.rs
@@ -1,8 +1,8 @@
-//! What the rules of a policy add up to for one tenant at one group of servers.
+//! The floor, weight, ceiling and other terms that the rules of a policy set for one tenant class at one group of servers.
 
 use crate::policy::{Loan, TermOverrides};
 
-/// Index of the rule that set each term; none: the default holds.
+/// Index of the rule that set each term; none: no rule set it, and the term has its default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TermSources {
     /// Rule of the floor.
@@ -28,20 +28,21 @@
     }
 }
 
-/// What holds for a tenant at a group of servers.
+/// The terms of a tenant class at a group of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Connections that are its own whenever it wants them.
+    /// Connections that the tenant class gets whenever it has demand for them, whatever the others demand.
     pub floor: u32,
-    /// Weight in what is left over floors.
+    /// Weight by which the connections beyond the floors are divided; with 0 it gets its floor only.
     pub weight: u32,
-    /// Maximum of connections; none: no bound but the budget.
+    /// Maximum number of connections; none: limited by the budget only.
     pub ceiling: Option<u32>,
-    /// When the floors do not fit into what is there, higher numbers lose theirs first.
+    /// When the servers have fewer connections than the sum of all floors, the floors with the highest number here are
+    /// reduced first.
     pub shed_order: u8,
-    /// What may be lent of the floor.
+    /// The part of the floor that may be lent while the tenant class has no demand for it; none: nothing is lent.
     pub loan: Option<Loan>,
-    /// Of the floor, connections that gateways keep for use without a lease.
+    /// The part of the floor, in connections, that gateways may use without a lease.
     pub fallback: u32,
     /// The rules that set these terms.
     pub sources: TermSources,
@@ -62,7 +63,7 @@
 }
 
 impl Terms {
-    /// Applies what the rule with this index sets.
+    /// Overrides the terms that the rule with this index sets, and records the index as their source.
     pub(crate) fn apply(&mut self, rule: usize, overrides: &TermOverrides) {
         if let Some(floor) = overrides.floor {
             (self.floor, self.sources.floor) = (floor, Some(rule));
