--- a/crates/connection-budget/src/lib.rs
+++ b/crates/connection-budget/src/lib.rs
@@ -1,7 +1,8 @@
-//! Budgets of connections at groups of servers, which a policy divides among tenants and, for each tenant, among gateways.
+//! Budgets of connections at groups of servers. A policy divides them among tenants, and each tenant's share is divided
+//! among gateways.
 //!
-//! The crate does no I/O and uses no floating point, so every process computes the same numbers. A [`Policy`] is data; it
-//! is compiled once ([`CompiledPolicy`]) and verified for every combination of its conditions. Tenants' shares are
+//! The crate does no I/O and uses no floating point, so every process computes the same numbers. A [`Policy`] is data;
+//! it is compiled once ([`CompiledPolicy`]) and verified for every combination of its conditions. Tenants' shares are
 //! weighted max-min shares within floors and ceilings ([`max_min_shares`]). A [`FairRotation`] turns fractional shares
 //! into whole connections, and an [`Allocator`] turns those into changes of the [`PermitLedger`]. See
 //! `docs/connection-budget.md`.
--- a/crates/connection-budget/src/rule_guard.rs
+++ b/crates/connection-budget/src/rule_guard.rs
@@ -35,19 +35,19 @@
     }
 }
 
-/// The sets of a policy's conditions that can be active at the same time. Sets that no minute of the day allows are left
-/// out: two times of day that do not overlap are never active together.
+/// The sets of a policy's conditions that can be active at the same time. Sets that no minute of the day allows are
+/// left out: two times of day that do not overlap are never active together.
 pub(crate) fn condition_combinations(policy: &Policy) -> Vec<BTreeSet<String>> {
     let names: Vec<&String> = policy.conditions.keys().collect();
     let combinations = (0..1usize << names.len().min(MAX_CONDITIONS)).map(|bits| {
         let active = names.iter().enumerate().filter(|(index, _)| bits >> index & 1 == 1);
         active.map(|(_, name)| (*name).clone()).collect::<BTreeSet<String>>()
     });
-    combinations.filter(|active| some_minute_has(policy, active)).collect()
+    combinations.filter(|active| some_minute_matches(policy, active)).collect()
 }
 
-/// Whether some minute of the day has these times of day, and no others.
-fn some_minute_has(policy: &Policy, active: &BTreeSet<String>) -> bool {
+/// Whether at some minute of the day exactly those of the policy's time-of-day conditions hold that are in `active`.
+fn some_minute_matches(policy: &Policy, active: &BTreeSet<String>) -> bool {
     let ranges: Vec<(bool, u16, u16)> = (policy.conditions.iter())
         .filter_map(|(name, condition)| match condition {
             Condition::TimeOfDay { from_minute, to_minute } => {
--- a/crates/connection-budget/src/scope.rs
+++ b/crates/connection-budget/src/scope.rs
@@ -21,12 +21,12 @@
 }
 
 impl BudgetScope {
-    /// A server.
+    /// The scope of a server, by its name.
     pub fn server(name: &str) -> BudgetScope {
         BudgetScope::Server(name.to_owned())
     }
 
-    /// A tenant at a group.
+    /// The scope of a tenant class at a group, by the name of the group's budget.
     pub fn tenant(group: &str, tenant_class: &TenantClass) -> BudgetScope {
         BudgetScope::Tenant(group.to_owned(), tenant_class.clone())
     }
@@ -35,8 +35,8 @@
 /// Permits of one gateway at one scope. Stored by position: fields must not move.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitCounts {
-    /// Permits that count against the scope's capacity: the gateway may still have that many connections open. It becomes
-    /// less only when the gateway acknowledges a recall or its lease expires.
+    /// Permits that count against the scope's capacity: the gateway may still have that many connections open. It
+    /// becomes less only when the gateway acknowledges a recall, its lease expires or its process ends.
     pub held: u32,
     /// Connections that the gateway may keep open; fewer than `held` while permits are being recalled, never more.
     pub target: u32,
--- a/crates/connection-budget/src/terms.rs
+++ b/crates/connection-budget/src/terms.rs
@@ -1,4 +1,4 @@
-//! The floor, weight, ceiling and other terms that the rules of a policy set for one tenant class at one group of servers.
+//! The terms (floor, weight, ceiling and others) that a policy's rules set for a tenant class at a group of servers.
 
 use crate::policy::{Loan, TermOverrides};
 
