--- a/crates/connection-budget/src/compiled_policy.rs
+++ b/crates/connection-budget/src/compiled_policy.rs
@@ -1,8 +1,8 @@
 //! A policy compiled against a fleet's tenants, plans and servers, and verified for every combination of conditions.
 //!
-//! Compiling costs rules x tenants x groups, verification that for each combination of conditions besides (at most
-//! [`MAX_CONDITION_COMBINATIONS`](crate::MAX_CONDITION_COMBINATIONS)); an evaluation looks at each tenant's own rules
-//! once.
+//! The cost of compiling is proportional to rules x tenants x groups; verification takes as much for each combination of
+//! conditions (at most [`MAX_CONDITION_COMBINATIONS`](crate::MAX_CONDITION_COMBINATIONS)). An evaluation goes once
+//! through the rules that select each tenant class.
 
 use crate::policy::{Budget, Policy, Rule};
 use crate::rule_guard::RuleGuard;
@@ -11,14 +11,14 @@
 use crate::verification::{self, PolicyError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names that a policy may use.
+/// The tenants, plans, classes, servers and zones of a fleet, which a policy may name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Inventory {
-    /// Plans by tenant.
+    /// The plan of each tenant.
     pub tenants: BTreeMap<String, String>,
-    /// Classes.
+    /// Classes of requests.
     pub classes: BTreeSet<String>,
-    /// Zones by server, for servers that take work.
+    /// The zone of each server that accepts requests.
     pub servers: BTreeMap<String, String>,
 }
 
@@ -27,8 +27,9 @@
 pub struct CompiledPolicy {
     policy: Policy,
     guards: Vec<RuleGuard>,
-    /// Indices of the rules for each tenant, in order, by budget.
+    /// By budget and tenant class: ascending indices of the rules that select it.
     rules: BTreeMap<String, BTreeMap<TenantClass, Vec<usize>>>,
+    /// Names of the servers of each budget's group.
     servers: BTreeMap<String, Vec<String>>,
 }
 
@@ -36,8 +37,8 @@
     /// Compiles and verifies a policy.
     ///
     /// # Errors
-    /// Everything that is wrong with it, each with its path: unknown names, figures out of range, rules that apply to
-    /// nobody or never, floors that do not fit under some combination of conditions.
+    /// All problems found, each with its path: figures out of range, unknown names and budgets without servers; if there
+    /// are none of these, rules without effect and terms that cannot be kept under some combination of conditions.
     pub fn new(policy: Policy, inventory: &Inventory) -> Result<CompiledPolicy, Vec<PolicyError>> {
         let mut errors = verification::limit_errors(&policy);
         errors.extend(verification::name_errors(&policy, inventory));
@@ -59,23 +60,25 @@
         Err(errors)
     }
 
-    /// The policy.
+    /// The policy as it was written.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Servers of a group.
+    /// Names of the servers of a budget's group; empty for an unknown budget.
     pub fn servers(&self, budget: &str) -> &[String] {
         self.servers.get(budget).map_or(&[], Vec::as_slice)
     }
 
-    /// The group of a server.
+    /// Name of the budget whose group a server belongs to.
     pub fn group_of(&self, server: &str) -> Option<&str> {
-        let has = |servers: &Vec<String>| servers.iter().any(|name| name == server);
-        self.servers.iter().find(|(_, servers)| has(servers)).map(|(name, _)| name.as_str())
+        let contains = |servers: &Vec<String>| servers.iter().any(|name| name == server);
+        self.servers.iter().find(|(_, servers)| contains(servers)).map(|(name, _)| name.as_str())
     }
 
-    /// Who a tenant's connection in a class counts against at a group; none: the policy knows no such tenant there.
+    /// The tenant class that a connection for a tenant's request of a class counts against at a group: that of the class
+    /// if it has a share of its own, else that of the tenant's other classes. None if the policy knows no such budget or
+    /// tenant.
     pub fn tenant_class(&self, budget: &str, tenant: &str, class: &str) -> Option<TenantClass> {
         let known = self.rules.get(budget)?;
         [Some(class), None]
@@ -84,20 +87,21 @@
             .find(|tenant_class| known.contains_key(tenant_class))
     }
 
-    /// Connections that a group's servers hold together.
+    /// Connections that all servers of a budget's group accept together; 0 for an unknown budget.
     pub fn total_connections(&self, budget: &str) -> u64 {
-        let per_server = self.policy.budgets.get(budget).map_or(0, |b| u64::from(b.connections));
+        let per_server = self.policy.budgets.get(budget).map_or(0, |budget| u64::from(budget.connections));
         per_server * self.servers(budget).len() as u64
     }
 
-    /// Terms of each tenant at a group while exactly these conditions are active.
+    /// Terms of each tenant class at a budget's group while exactly these conditions are active.
     pub fn terms<'a>(
         &'a self,
         budget: &str,
         active_conditions: &'a BTreeSet<String>,
     ) -> impl Iterator<Item = (&'a TenantClass, Terms)> + 'a {
-        let tenants = self.rules.get(budget).into_iter().flatten();
-        tenants.map(move |(tenant_class, rules)| (tenant_class, self.evaluate(rules, active_conditions)))
+        let by_tenant_class = self.rules.get(budget).into_iter().flatten();
+        by_tenant_class
+            .map(move |(tenant_class, rules)| (tenant_class, self.evaluate(rules, active_conditions)))
     }
 
     fn evaluate(&self, rules: &[usize], active_conditions: &BTreeSet<String>) -> Terms {
@@ -108,18 +112,18 @@
         terms
     }
 
-    /// Whether any tenant at any group has this rule.
+    /// Whether the rule with this index selects any tenant class at any group.
     pub(crate) fn is_assigned(&self, rule: usize) -> bool {
         self.rules.values().flat_map(BTreeMap::values).any(|rules| rules.contains(&rule))
     }
 
-    /// Whether a rule holds while exactly these conditions are active.
+    /// Whether the conditions of the rule with this index are met while exactly these conditions are active.
     pub(crate) fn rule_holds(&self, rule: usize, active_conditions: &BTreeSet<String>) -> bool {
         self.guards[rule].holds(active_conditions)
     }
 }
 
-/// Servers of each group: of the budget of their zone, or else of the budget without one.
+/// Names of the servers of each budget. A server belongs to the budget of its zone, or else to the budget without a zone.
 fn servers_by_budget(policy: &Policy, inventory: &Inventory) -> BTreeMap<String, Vec<String>> {
     let mut servers: BTreeMap<String, Vec<String>> =
         policy.budgets.keys().map(|name| (name.clone(), vec![])).collect();
@@ -134,19 +138,20 @@
     servers
 }
 
-/// Which rules are for whom, by budget.
+/// By budget and tenant class: ascending indices of the rules that select it. Each tenant has a tenant class for each
+/// class of requests that one of its rules names, and one for all others.
 fn rules_by_budget(
     policy: &Policy,
     inventory: &Inventory,
 ) -> BTreeMap<String, BTreeMap<TenantClass, Vec<usize>>> {
-    let named: BTreeSet<&String> = policy.rules.iter().flat_map(|rule| &rule.select.classes).collect();
+    let named_classes: BTreeSet<&String> = policy.rules.iter().flat_map(|rule| &rule.select.classes).collect();
     let mut by_budget = BTreeMap::new();
     for (name, budget) in &policy.budgets {
         let mut by_tenant = BTreeMap::new();
         for (tenant, plan) in &inventory.tenants {
-            for class in named.iter().map(|class| Some((*class).clone())).chain([None]) {
-                let applies = |rule: &Rule| applies(rule, budget, tenant, plan, class.as_ref());
-                let rules = policy.rules.iter().enumerate().filter(|(_, rule)| applies(rule));
+            for class in named_classes.iter().map(|class| Some((*class).clone())).chain([None]) {
+                let is_selected = |rule: &Rule| selects(rule, budget, tenant, plan, class.as_ref());
+                let rules = policy.rules.iter().enumerate().filter(|(_, rule)| is_selected(rule));
                 let rules: Vec<usize> = rules.map(|(index, _)| index).collect();
                 if class.is_none() || !rules.is_empty() {
                     by_tenant.insert(TenantClass { tenant: tenant.clone(), class }, rules);
@@ -158,12 +163,14 @@
     by_budget
 }
 
-/// Whether a rule is for a tenant in a class at a group.
-fn applies(rule: &Rule, budget: &Budget, tenant: &str, plan: &str, class: Option<&String>) -> bool {
-    let fits = |names: &BTreeSet<String>, name: &str| names.is_empty() || names.contains(name);
+/// Whether a rule selects a tenant's requests of a class at a budget's group; no class: those of all classes that no rule
+/// names.
+fn selects(rule: &Rule, budget: &Budget, tenant: &str, plan: &str, class: Option<&String>) -> bool {
+    let matches = |names: &BTreeSet<String>, name: &str| names.is_empty() || names.contains(name);
     let select = &rule.select;
-    let in_zone = budget.zone.as_ref().map_or(select.zones.is_empty(), |zone| fits(&select.zones, zone));
-    // A rule without classes is for what no rule names: once for the tenant as a whole, not once a class.
-    let in_class = class.map_or(select.classes.is_empty(), |class| select.classes.contains(class));
-    in_zone && in_class && fits(&select.tenants, tenant) && fits(&select.plans, plan)
+    let zone_matches =
+        budget.zone.as_ref().map_or(select.zones.is_empty(), |zone| matches(&select.zones, zone));
+    // A rule without classes sets terms once, for the classes that no rule names together, and not for each class.
+    let class_matches = class.map_or(select.classes.is_empty(), |class| select.classes.contains(class));
+    zone_matches && class_matches && matches(&select.tenants, tenant) && matches(&select.plans, plan)
 }
--- a/crates/connection-budget/src/condition_tracker.rs
+++ b/crates/connection-budget/src/condition_tracker.rs
@@ -1,21 +1,21 @@
-//! Which conditions are active, with hysteresis, from what is observed.
+//! Tracks which conditions of a policy are active, from observations and with hysteresis.
 
 use crate::policy::{minute_in_range, Condition, Policy};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds of a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// What is observed at a time.
+/// The state of the fleet at one time, as far as conditions depend on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observation {
     /// Zones that are unavailable.
     pub unavailable_zones: BTreeSet<String>,
-    /// A quorum of the replicas can be reached.
+    /// Whether a quorum of the replicas can be reached.
     pub quorum_reachable: bool,
-    /// Use of each budget, percent; a budget of which nothing is known is left out, and nothing changes by it.
+    /// Percentage of each budget's connections that is in use. A budget whose usage is unknown is left out; conditions
+    /// on it keep their state.
     pub usage_percent: BTreeMap<String, u8>,
-    /// Minutes from midnight, UTC.
+    /// Minutes since midnight, UTC.
     pub minute_of_day: u16,
 }
 
@@ -23,23 +23,24 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Tracked {
     active: bool,
-    /// Since when the observations have contradicted the state, microseconds.
+    /// Time since which all observations have contradicted `active`, microseconds; none: the last one agreed with it.
     contradicted_since: Option<u64>,
 }
 
-/// What an observation says about a condition.
+/// The state of a condition that follows from one observation.
 struct Finding {
     active: bool,
-    /// How long that must last to change the state, milliseconds.
+    /// How long observations must lead to this finding before the condition's state changes, milliseconds.
     must_last_ms: u64,
 }
 
-/// The state of a policy's conditions.
+/// The state of each condition of a policy, by name.
 #[derive(Clone, Debug, Default)]
 pub struct ConditionTracker(BTreeMap<String, Tracked>);
 
 impl ConditionTracker {
-    /// Takes an observation, at a time in microseconds on any clock that never goes back; true if a condition changed.
+    /// Updates the conditions by an observation; returns whether any of them became active or ended. `now` is in
+    /// microseconds on any monotonic clock.
     pub fn observe(&mut self, now: u64, policy: &Policy, observation: &Observation) -> bool {
         self.0.retain(|name, _| policy.conditions.contains_key(name));
         let mut changed = false;
@@ -59,19 +60,19 @@
         changed
     }
 
-    /// Starts with the conditions that another tracker found active.
+    /// A tracker in which these conditions are already active, for instance as another tracker has left them.
     pub fn with_active(active: &BTreeSet<String>) -> ConditionTracker {
         let tracked = Tracked { active: true, contradicted_since: None };
         ConditionTracker(active.iter().map(|name| (name.clone(), tracked)).collect())
     }
 
-    /// The active conditions.
+    /// Names of the active conditions.
     pub fn active(&self) -> BTreeSet<String> {
         self.0.iter().filter(|(_, tracked)| tracked.active).map(|(name, _)| name.clone()).collect()
     }
 }
 
-/// What an observation says about a condition that is active now or not; none: nothing is known.
+/// The state of a condition that follows from an observation; none if the observation has no value for it.
 fn evaluate(condition: &Condition, observation: &Observation, active_now: bool) -> Option<Finding> {
     let (active, begin_after_ms, end_after_ms) = match condition {
         Condition::ZoneUnavailable { zone, begin_after_ms, end_after_ms } => {
@@ -82,7 +83,7 @@
         }
         Condition::UsageAbove { budget, percent, begin_after_ms, end_below_percent, end_after_ms } => {
             let usage = *observation.usage_percent.get(budget)?;
-            // Between the two marks the state stays.
+            // While usage is between the two percentages, the condition keeps its state.
             let active = if active_now { usage >= *end_below_percent } else { usage > *percent };
             (active, *begin_after_ms, *end_after_ms)
         }
--- a/crates/connection-budget/src/gateway_permits.rs
+++ b/crates/connection-budget/src/gateway_permits.rs
@@ -1,7 +1,9 @@
-//! A gateway's side of the ledger: whether a connection may be opened now, which have to be closed, what is released.
+//! A gateway's side of the ledger: counts the gateway's connections and decides whether one may be opened or used, and how
+//! many have to be closed.
 //!
-//! A connection counts from before it is opened until it is known to be closed at the server too: one that was closed
-//! only here may still be held there. Counted so, what is reported is never less than what the server holds.
+//! A connection is counted from before it is opened until it is known to be closed at the server too, since one that was
+//! closed only by the gateway may still be open at the server. So the reported counts are never below what the servers
+//! hold.
 
 use crate::received_grants::ReceivedGrants;
 use crate::report::{GatewayReport, MAX_REPORT_ENTRIES};
@@ -10,29 +12,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a connection counts against.
+/// The server and the tenant class that a connection counts against.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionPermit {
-    /// The server, by name.
+    /// Name of the server.
     pub server: String,
-    /// The budget's name; empty where there is none.
+    /// Name of the budget of the server's group; empty if there is none.
     pub group: String,
-    /// Whose it is.
+    /// The tenant class whose requests the connection serves.
     pub tenant_class: TenantClass,
-    /// Whether it takes a permit of the budget.
+    /// Whether the connection needs a permit of the budget. If not, it is counted but never refused.
     pub budgeted: bool,
 }
 
 impl ConnectionPermit {
-    /// The server and the tenant at its group.
+    /// The two scopes that the connection counts against: the server, and the tenant class at its group.
     pub fn scopes(&self) -> [BudgetScope; 2] {
         [BudgetScope::server(&self.server), BudgetScope::tenant(&self.group, &self.tenant_class)]
     }
 
-    /// Whether it counts against a scope.
+    /// Whether the connection counts against a scope.
     pub fn counts_against(&self, scope: &BudgetScope) -> bool {
         match scope {
-            BudgetScope::Server(server) => *server == self.server,
+            BudgetScope::Server(name) => *name == self.server,
             BudgetScope::Tenant(group, tenant_class) => {
                 *group == self.group && *tenant_class == self.tenant_class
             }
@@ -40,26 +42,28 @@
     }
 }
 
-/// The permits of a gateway, and its open connections.
+/// The permits of a gateway and the number of its open connections at each scope.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatewayPermits {
     grants: Arc<ReceivedGrants>,
+    /// Connections that are open or not yet known to be closed; scopes without any are left out.
     open: BTreeMap<BudgetScope, u32>,
     draining: bool,
 }
 
 impl GatewayPermits {
-    /// Sets what the replicas have granted. Must happen before the gateway reports that it knows of it.
+    /// Replaces the grants of the replicas. This must happen before a report is sent with their epoch, because a report
+    /// acknowledges that the gateway keeps to the permits of that epoch.
     pub fn set_grants(&mut self, grants: Arc<ReceivedGrants>) {
         self.grants = grants;
     }
 
-    /// The process is about to end: from now on no connection may be open.
+    /// Allows no connection from now on, because the process is about to end.
     pub fn begin_drain(&mut self) {
         self.draining = true;
     }
 
-    /// How many connections may be open at a scope now.
+    /// How many connections may be open at a scope at the time `now`, microseconds; none while the process drains.
     pub fn allowed(&self, now: u64, scope: &BudgetScope) -> u32 {
         if self.draining {
             return 0;
@@ -67,14 +71,14 @@
         self.grants.allowed(now, scope)
     }
 
-    /// Tenants that may open another connection at a group now.
+    /// Tenant classes that may have another connection open at a group. Whether a server has room for one is not checked.
     pub fn tenants_with_room<'a>(
         &'a self,
         now: u64,
         group: &'a str,
     ) -> impl Iterator<Item = &'a TenantClass> {
         self.grants.newest_permits().filter_map(move |(scope, _)| match scope {
-            BudgetScope::Tenant(of, tenant_class) if of == group && self.has_room(now, scope) => {
+            BudgetScope::Tenant(budget, tenant_class) if budget == group && self.has_room(now, scope) => {
                 Some(tenant_class)
             }
             _ => None,
@@ -95,35 +99,37 @@
         }
     }
 
-    /// Opens a connection, if it may be opened: it counts from now on. One that takes no permit counts all the same, so
-    /// that the number is known when a budget begins.
+    /// Counts a connection that is about to be opened, if both its scopes have room; false if it must not be opened. A
+    /// connection that needs no permit is counted too, so that the number is known when its server gets a budget.
     pub fn try_open(&mut self, now: u64, permit: &ConnectionPermit) -> bool {
-        let may = !permit.budgeted || permit.scopes().iter().all(|scope| self.has_room(now, scope));
-        if may {
+        let allowed = !permit.budgeted || permit.scopes().iter().all(|scope| self.has_room(now, scope));
+        if allowed {
             self.count(permit);
         }
-        may
+        allowed
     }
 
-    /// Whether an open connection may get a request: not while there are too many, some of which have to be closed.
+    /// Whether a request may be sent on an open connection. It may not while more connections are open at one of its
+    /// scopes than are allowed, since some of them have to be closed.
     pub fn may_use(&self, now: u64, permit: &ConnectionPermit) -> bool {
         !permit.budgeted || permit.scopes().iter().all(|scope| self.is_within(now, scope))
     }
 
-    /// Lets an idle connection count against another tenant from now on, if it may.
+    /// Counts an idle connection against another tenant class, if it is of the same server and the other tenant class has
+    /// room; returns whether it was moved.
     pub fn transfer(&mut self, now: u64, from: &ConnectionPermit, to: &ConnectionPermit) -> bool {
         let [server, tenant] = to.scopes();
-        let fits = !to.budgeted || self.has_room(now, &tenant) && self.is_within(now, &server);
-        let may = from.server == to.server && fits;
-        if may {
+        let permitted = !to.budgeted || self.has_room(now, &tenant) && self.is_within(now, &server);
+        let allowed = from.server == to.server && permitted;
+        if allowed {
             self.release(from);
             self.count(to);
         }
-        may
+        allowed
     }
 
-    /// A connection is known to be closed at the server too, or was refused by it, or the server's own idle limit has
-    /// passed since anything was sent on it.
+    /// Ends the counting of a connection. It may be called once the server is known to have closed the connection too or
+    /// has refused it, or when nothing was sent on the connection for the server's idle limit.
     pub fn release(&mut self, permit: &ConnectionPermit) {
         for scope in permit.scopes() {
             if let Some(open) = self.open.get_mut(&scope) {
@@ -135,18 +141,18 @@
         }
     }
 
-    /// Connections that are open, or not yet known to be closed.
+    /// Number of connections at a scope that are open, or not yet known to be closed.
     pub fn open_count(&self, scope: &BudgetScope) -> u32 {
         self.open.get(scope).copied().unwrap_or(0)
     }
 
-    /// Whether no connection is open anywhere.
+    /// Whether no connection is counted at any scope.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Where more connections are open than allowed: how many have to be closed, idle ones at once, busy ones after their
-    /// responses. `budgeted` tells scopes that take permits.
+    /// Scopes at which more connections are open than allowed, and how many of them have to be closed: idle ones at once,
+    /// busy ones after their responses. Only scopes for which `budgeted` is true are checked.
     pub fn excess(&self, now: u64, budgeted: impl Fn(&BudgetScope) -> bool) -> Vec<(BudgetScope, u32)> {
         let excess = self.open.iter().filter(|(scope, _)| budgeted(scope)).filter_map(|(scope, open)| {
             let excess = open.saturating_sub(self.allowed(now, scope));
@@ -155,7 +161,8 @@
         excess.collect()
     }
 
-    /// The report to the replicas: the epoch known, and how many connections are open where permits are recalled.
+    /// A report to the replicas with the newest epoch, the open connections at scopes where permits are being recalled, and
+    /// whether the process has drained. The caller adds the demand and the other fields.
     pub fn report(&self) -> GatewayReport {
         let recalled = self.grants.newest_permits().filter(|(_, permits)| permits.is_being_recalled());
         let open_counts = recalled.map(|(scope, _)| (scope.clone(), self.open_count(scope)));
--- a/crates/connection-budget/src/incarnations.rs
+++ b/crates/connection-budget/src/incarnations.rs
@@ -1,16 +1,18 @@
-//! Which process of a gateway its permits are for.
+//! The processes of a gateway: the current one, which its permits are for, and earlier ones. Each process has its own
+//! incarnation number.
 
 use serde::{Deserialize, Serialize};
 
-/// Earlier processes of a gateway that are remembered.
+/// Maximum number of earlier processes of a gateway that are remembered.
 const MAX_SUPERSEDED: usize = 8;
 
-/// The process that a gateway's permits are for, and some before it, which never come back. Stored by position: fields
-/// must not move.
+/// Incarnation of a gateway's current process, and of the last ones before it, which never become current again. Stored
+/// by position: fields must not move.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Incarnations {
-    /// 0: none.
+    /// 0: the gateway has no current process.
     current: u64,
+    /// From the oldest to the newest, at most [`MAX_SUPERSEDED`].
     superseded: Vec<u64>,
 }
 
@@ -23,7 +25,7 @@
         self.superseded.contains(&incarnation)
     }
 
-    /// Begins a process; false if it has begun before.
+    /// Makes a new process the current one; false if it is the current one already or was superseded.
     pub(crate) fn begin(&mut self, incarnation: u64) -> bool {
         if self.current == incarnation || self.is_superseded(incarnation) {
             return false;
@@ -33,7 +35,7 @@
         true
     }
 
-    /// Ends the current process.
+    /// Makes the current process, if there is one, a superseded one.
     pub(crate) fn end(&mut self) {
         if self.current != 0 {
             self.superseded.push(std::mem::take(&mut self.current));
--- a/crates/connection-budget/src/report.rs
+++ b/crates/connection-budget/src/report.rs
@@ -1,41 +1,42 @@
-//! What a gateway reports to the replicas.
+//! The report that a gateway sends to the replicas.
 
 use crate::scope::{BudgetScope, Epoch};
 use crate::tenant_class::TenantClass;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Entries of each list of a [`GatewayReport`] at most.
+/// Maximum number of entries in each list of a [`GatewayReport`].
 pub const MAX_REPORT_ENTRIES: usize = 4_096;
 
-/// What a gateway has use for. Sent by position: fields must not move.
+/// A gateway's demand for connections: those in use and those that requests wait for. Sent by position: fields must not
+/// move.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Connections at once, at most.
+    /// Largest number of connections at the same time.
     pub peak: u32,
-    /// Connections on average, thousandths.
+    /// Average number of connections, thousandths.
     pub mean_milli: u64,
 }
 
-/// A group, a tenant and what the gateway has use for there.
+/// Name of a group's budget, a tenant class, and the gateway's demand for its connections at that group.
 pub(crate) type TenantDemand = (String, TenantClass, Demand);
 
-/// A gateway's report. Sent by position: fields must not move.
+/// A gateway's report to the replicas. Sent by position: fields must not move.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayReport {
-    /// The last change of its permits that the gateway knows of, and keeps to.
+    /// Epoch of the newest grant that the gateway has received and keeps to.
     pub seen_epoch: Epoch,
-    /// Open connections where permits are being recalled.
+    /// Number of open connections at each scope where permits are being recalled.
     pub open_counts: Vec<(BudgetScope, u32)>,
-    /// What it has use for, by group and tenant.
+    /// Demand by group and tenant class.
     pub demand: Vec<TenantDemand>,
-    /// Peak of all tenants together, by group.
+    /// By name of the group's budget: largest number of connections that all tenants together demanded at the same time.
     pub group_peaks: Vec<(String, u32)>,
-    /// Zones that it cannot reach.
+    /// Zones that the gateway cannot reach.
     pub unavailable_zones: BTreeSet<String>,
-    /// No earlier process of the gateway runs any more.
+    /// Whether no earlier process of the gateway is running any more.
     pub sole_process: bool,
-    /// It has no connection open, and opens none any more: it is about to end.
+    /// Whether the gateway's process has no connection open and will open none, because it is about to end.
     pub drained: bool,
 }
 
