--- a/crates/connection-budget/src/demand_meter.rs
+++ b/crates/connection-budget/src/demand_meter.rs
@@ -1,21 +1,24 @@
-//! What a gateway has use for, measured by tenant over the last one or two windows: the peak, so that what comes and goes
-//! within it moves nothing, and the average, which tells whether there is too little for all.
+//! Measures a gateway's demand for connections by tenant class, over the last one to two windows: the peak, so that demand
+//! that fluctuates within a window moves no permits, and the average, which shows whether there are too few connections
+//! for all.
 
 use crate::report::{Demand, TenantDemand, MAX_REPORT_ENTRIES};
 use crate::tenant_class::TenantClass;
 use std::collections::BTreeMap;
 
-/// A request that found no connection counts as one that holds a connection for the window divided by this.
+/// A request that found no connection adds as much demand as one that holds a connection for the window's length divided
+/// by this.
 const MISSED_WINDOW_DIVISOR: u64 = 20;
 
-/// One series: connections in use or waited for.
+/// Demand of one tenant class or one group: connections that are in use or that requests wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Usage {
     current: u32,
+    /// Maximum since the window began.
     peak: u32,
     /// Connections times microseconds since the window began.
     area: u64,
-    /// Time up to which the area is counted, microseconds.
+    /// Time up to which `area` is counted, microseconds.
     counted_to: u64,
     previous_window: Demand,
 }
@@ -28,7 +31,8 @@
         self.peak = self.peak.max(connections);
     }
 
-    /// Ends the window that began at a time; one that is not recent counts for nothing.
+    /// Ends the window that began at the time `began`. Its demand is kept as that of the previous window if it is recent,
+    /// and dropped otherwise.
     fn end_window(&mut self, began: u64, now: u64, recent: bool) {
         self.set(now, self.current);
         let mean_milli = (self.area * 1_000).checked_div(now - began).unwrap_or(0);
@@ -38,7 +42,7 @@
     }
 
     fn demand(&self, window: u64) -> Demand {
-        // A window that has only begun counts what it has seen over its whole length.
+        // The current window is averaged over its full length even if it is not over: a short one would overstate demand.
         let mean_milli = (self.area * 1_000 / window).max(self.previous_window.mean_milli);
         Demand { peak: self.peak.max(self.previous_window.peak), mean_milli }
     }
@@ -48,33 +52,35 @@
     }
 }
 
-/// Measures what a gateway has use for, by group and tenant.
+/// Measures a gateway's demand by group and tenant class. All times are in microseconds on a monotonic clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DemandMeter {
+    /// Length of a window, microseconds.
     window: u64,
+    /// Time at which the current window began, microseconds.
     began: u64,
     by_tenant: BTreeMap<(String, TenantClass), Usage>,
     by_group: BTreeMap<String, Usage>,
 }
 
 impl DemandMeter {
-    /// Looks back over one to two windows of this length, microseconds.
+    /// A meter of the demand over the current and the previous window, each of this length in microseconds.
     pub fn new(window: u64) -> DemandMeter {
         DemandMeter { window: window.max(1), ..DemandMeter::default() }
     }
 
-    /// A connection is in use, or waited for, from now on.
+    /// Adds one connection that is in use, or that a request waits for, from `now` on.
     pub fn begin(&mut self, now: u64, group: &str, tenant_class: &TenantClass) {
         self.change(now, group, tenant_class, |connections| connections + 1);
     }
 
-    /// It is so no more.
+    /// Ends what [`DemandMeter::begin`] has begun: one connection less is in use or waited for.
     pub fn end(&mut self, now: u64, group: &str, tenant_class: &TenantClass) {
         self.change(now, group, tenant_class, |connections| connections.saturating_sub(1));
     }
 
-    /// A request found no connection, and did not wait: it counts as one that holds a connection for a part of the window
-    /// (how long it would have held it is not known).
+    /// Adds the demand of a request that found no connection and did not wait. How long it would have held a connection
+    /// is unknown, so it counts as having held one for a fixed part of the window.
     pub fn record_unserved_request(&mut self, now: u64, group: &str, tenant_class: &TenantClass) {
         self.begin(now, group, tenant_class);
         self.end(now, group, tenant_class);
@@ -83,7 +89,8 @@
         }
     }
 
-    /// Demand by group and tenant, and the peak of each group; at most [`MAX_REPORT_ENTRIES`] of each.
+    /// Demand by group and tenant class, and the peak of each group, without entries of zero; at most
+    /// [`MAX_REPORT_ENTRIES`] of each.
     pub fn snapshot(&mut self, now: u64) -> (Vec<TenantDemand>, Vec<(String, u32)>) {
         self.roll_window(now);
         let window = self.window;
@@ -97,15 +104,17 @@
         (by_tenant, by_group.filter(|(_, peak)| *peak > 0).take(MAX_REPORT_ENTRIES).collect())
     }
 
-    fn change(&mut self, now: u64, group: &str, tenant_class: &TenantClass, to: impl Fn(u32) -> u32) {
+    /// Applies `update` to the current number of connections of a tenant class and of its group.
+    fn change(&mut self, now: u64, group: &str, tenant_class: &TenantClass, update: impl Fn(u32) -> u32) {
         self.roll_window(now);
         let new = Usage { counted_to: self.began, ..Usage::default() };
         let usage = self.by_tenant.entry((group.to_owned(), tenant_class.clone())).or_insert(new);
-        usage.set(now, to(usage.current));
+        usage.set(now, update(usage.current));
         let usage = self.by_group.entry(group.to_owned()).or_insert(new);
-        usage.set(now, to(usage.current));
+        usage.set(now, update(usage.current));
     }
 
+    /// Begins a new window if the current one is over, and removes entries without demand in either window.
     fn roll_window(&mut self, now: u64) {
         let elapsed = now.saturating_sub(self.began);
         if elapsed < self.window {
