--- a/crates/connection-budget/src/allocator.rs
+++ b/crates/connection-budget/src/allocator.rs
@@ -1,4 +1,5 @@
-//! Allocation of a policy's shares: from what each gateway wants to the changes of the ledger that bring them about.
+//! Allocates permits by a policy: computes each gateway's share from the demand, and the changes of the ledger that
+//! bring the gateways to their shares.
 
 use crate::compiled_policy::CompiledPolicy;
 use crate::group_allocation::{GroupRotation, GroupRound};
@@ -9,30 +10,30 @@
 use crate::tenant_class::TenantClass;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What gateways want of a group.
+/// The demand for connections at one group of servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupDemand {
-    /// By tenant.
+    /// Demand of each tenant class at each gateway.
     pub by_tenant: BTreeMap<TenantClass, BTreeMap<GatewayId, Demand>>,
-    /// Peak of all tenants together.
+    /// Largest number of connections that all tenants together demanded at the same time, by gateway.
     pub peak_by_gateway: BTreeMap<GatewayId, u32>,
 }
 
-/// What gateways want, by group.
+/// The demand for connections at each group of servers, by the name of the group's budget.
 pub type DemandByGroup = BTreeMap<String, GroupDemand>;
 
-/// What a round is allocated from.
+/// The data from which a round is allocated.
 #[derive(Clone, Copy, Debug)]
 pub struct AllocationInput<'a> {
     /// The policy in force everywhere.
     pub policy: &'a CompiledPolicy,
     /// The conditions that are active.
     pub active_conditions: &'a BTreeSet<String>,
-    /// What gateways want.
+    /// The demand of all gateways.
     pub demand: &'a DemandByGroup,
-    /// All gateways that fallback permits are kept for.
+    /// The gateways over which fallback permits are spread.
     pub fleet: &'a BTreeSet<GatewayId>,
-    /// Who has what.
+    /// The permits that gateways hold now.
     pub ledger: &'a PermitLedger,
 }
 
@@ -40,17 +41,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Allocator {
     groups: BTreeMap<String, GroupRotation>,
+    /// Number of rounds of all groups so far.
     rounds: u64,
 }
 
 impl Allocator {
-    /// When a group's next round is due, microseconds; 0: at once.
+    /// Time at which a group's next round is due, microseconds; 0 if it has had none yet.
     pub fn next_round_at(&self, group: &str) -> u64 {
         self.groups.get(group).map_or(0, |rotation| rotation.next_round_at)
     }
 
-    /// Rounds of all groups that are due, at a time in microseconds on any clock that never goes back; at most
-    /// `max_changes` permits are moved by them.
+    /// Allocates a round of each group that is due, and returns the changes of the ledger. `now` is in microseconds on
+    /// any monotonic clock. Grants and recalls are planned only while there are fewer than `max_changes` changes in
+    /// all; capacities are set regardless of it.
     pub fn allocate(
         &mut self,
         now: u64,
@@ -74,7 +77,7 @@
 }
 
 fn allocate_group(
-    number: u64,
+    round_number: u64,
     group: &str,
     rotation: &mut GroupRotation,
     input: &AllocationInput<'_>,
@@ -88,13 +91,14 @@
         .collect();
     let connections = servers.iter().map(|scope| ledger.capacity(scope)).sum();
     changes.extend(capacity_changes(input, group, connections));
-    let targets = GroupRound { input: *input, group, connections, number }.targets(rotation);
+    let targets = GroupRound { input: *input, group, connections, round_number }.targets(rotation);
     let none = BTreeMap::new();
     for (tenant_class, _) in policy.terms(group, active_conditions) {
         let scope = [BudgetScope::tenant(group, tenant_class)];
         let wanted = targets.tenants.get(tenant_class).unwrap_or(&none);
         let left = max_changes.saturating_sub(changes.len());
-        // Where there is too little for all, who has more than its share uses what others lack at the servers.
+        // If connections are scarce, a gateway with more than its share of this tenant's permits uses connections that
+        // other tenants lack at the servers. So its excess is recalled even if no gateway lacks permits of this tenant.
         let planned = if targets.scarce {
             plan_recalling(ledger, &scope, wanted, left)
         } else {
@@ -106,7 +110,8 @@
     changes.extend(plan(ledger, &servers, &targets.servers, left));
 }
 
-/// Tenants' capacities as their terms are now; those of unknown tenants and groups are closed.
+/// Changes that set the capacity of each tenant class at the group as its terms now require, and close the scopes of
+/// tenant classes and groups that the policy no longer has.
 fn capacity_changes(input: &AllocationInput<'_>, group: &str, connections: u64) -> Vec<LedgerChange> {
     let AllocationInput { policy, active_conditions, ledger, .. } = *input;
     let connections = u32::try_from(connections).unwrap_or(u32::MAX);
@@ -117,8 +122,8 @@
         })
         .collect();
     let is_stale = |scope: &BudgetScope| match scope {
-        BudgetScope::Tenant(of, _) if of == group => !capacities.contains_key(scope),
-        BudgetScope::Tenant(of, _) => !policy.policy().budgets.contains_key(of),
+        BudgetScope::Tenant(budget, _) if budget == group => !capacities.contains_key(scope),
+        BudgetScope::Tenant(budget, _) => !policy.policy().budgets.contains_key(budget),
         BudgetScope::Server(_) => false,
     };
     let stale = ledger.scopes().filter(|(scope, capacity)| *capacity > 0 && is_stale(scope));
--- a/crates/connection-budget/src/compiled_policy.rs
+++ b/crates/connection-budget/src/compiled_policy.rs
@@ -1,7 +1,7 @@
 //! A policy compiled against a fleet's tenants, plans and servers, and verified for every combination of conditions.
 //!
-//! The cost of compiling is proportional to rules x tenants x groups; verification takes as much for each combination of
-//! conditions (at most [`MAX_CONDITION_COMBINATIONS`](crate::MAX_CONDITION_COMBINATIONS)). An evaluation goes once
+//! The cost of compiling is proportional to rules x tenants x groups; verification takes as much for each combination
+//! of conditions (at most [`MAX_CONDITION_COMBINATIONS`](crate::MAX_CONDITION_COMBINATIONS)). An evaluation goes once
 //! through the rules that select each tenant class.
 
 use crate::policy::{Budget, Policy, Rule};
@@ -37,8 +37,9 @@
     /// Compiles and verifies a policy.
     ///
     /// # Errors
-    /// All problems found, each with its path: figures out of range, unknown names and budgets without servers; if there
-    /// are none of these, rules without effect and terms that cannot be kept under some combination of conditions.
+    /// All problems found, each with its path: figures out of range, unknown names and budgets without servers; if
+    /// there are none of these, rules without effect and terms that cannot be kept under some combination of
+    /// conditions.
     pub fn new(policy: Policy, inventory: &Inventory) -> Result<CompiledPolicy, Vec<PolicyError>> {
         let mut errors = verification::limit_errors(&policy);
         errors.extend(verification::name_errors(&policy, inventory));
@@ -76,9 +77,9 @@
         self.servers.iter().find(|(_, servers)| contains(servers)).map(|(name, _)| name.as_str())
     }
 
-    /// The tenant class that a connection for a tenant's request of a class counts against at a group: that of the class
-    /// if it has a share of its own, else that of the tenant's other classes. None if the policy knows no such budget or
-    /// tenant.
+    /// The tenant class that a connection for a tenant's request of a class counts against at a group: that of the
+    /// class if it has a share of its own, else that of the tenant's other classes. None if the policy knows no such
+    /// budget or tenant.
     pub fn tenant_class(&self, budget: &str, tenant: &str, class: &str) -> Option<TenantClass> {
         let known = self.rules.get(budget)?;
         [Some(class), None]
@@ -123,7 +124,8 @@
     }
 }
 
-/// Names of the servers of each budget. A server belongs to the budget of its zone, or else to the budget without a zone.
+/// Names of the servers of each budget. A server belongs to the budget of its zone, or else to the budget without a
+/// zone.
 fn servers_by_budget(policy: &Policy, inventory: &Inventory) -> BTreeMap<String, Vec<String>> {
     let mut servers: BTreeMap<String, Vec<String>> =
         policy.budgets.keys().map(|name| (name.clone(), vec![])).collect();
@@ -163,8 +165,8 @@
     by_budget
 }
 
-/// Whether a rule selects a tenant's requests of a class at a budget's group; no class: those of all classes that no rule
-/// names.
+/// Whether a rule selects a tenant's requests of a class at a budget's group; no class: those of all classes that no
+/// rule names.
 fn selects(rule: &Rule, budget: &Budget, tenant: &str, plan: &str, class: Option<&String>) -> bool {
     let matches = |names: &BTreeSet<String>, name: &str| names.is_empty() || names.contains(name);
     let select = &rule.select;
--- a/crates/connection-budget/src/demand_meter.rs
+++ b/crates/connection-budget/src/demand_meter.rs
@@ -1,13 +1,13 @@
-//! Measures a gateway's demand for connections by tenant class, over the last one to two windows: the peak, so that demand
-//! that fluctuates within a window moves no permits, and the average, which shows whether there are too few connections
-//! for all.
+//! Measures a gateway's demand for connections by tenant class, over the last one to two windows: the peak, so that
+//! demand that fluctuates within a window moves no permits, and the average, which shows whether there are too few
+//! connections for all.
 
 use crate::report::{Demand, TenantDemand, MAX_REPORT_ENTRIES};
 use crate::tenant_class::TenantClass;
 use std::collections::BTreeMap;
 
-/// A request that found no connection adds as much demand as one that holds a connection for the window's length divided
-/// by this.
+/// A request that found no connection adds as much demand as one that holds a connection for the window's length
+/// divided by this.
 const MISSED_WINDOW_DIVISOR: u64 = 20;
 
 /// Demand of one tenant class or one group: connections that are in use or that requests wait for.
@@ -31,8 +31,8 @@
         self.peak = self.peak.max(connections);
     }
 
-    /// Ends the window that began at the time `began`. Its demand is kept as that of the previous window if it is recent,
-    /// and dropped otherwise.
+    /// Ends the window that began at the time `began`. Its demand is kept as that of the previous window if it is
+    /// recent, and dropped otherwise.
     fn end_window(&mut self, began: u64, now: u64, recent: bool) {
         self.set(now, self.current);
         let mean_milli = (self.area * 1_000).checked_div(now - began).unwrap_or(0);
@@ -42,7 +42,8 @@
     }
 
     fn demand(&self, window: u64) -> Demand {
-        // The current window is averaged over its full length even if it is not over: a short one would overstate demand.
+        // The current window is averaged over its full length even if it is not over: a short one would overstate
+        // demand.
         let mean_milli = (self.area * 1_000 / window).max(self.previous_window.mean_milli);
         Demand { peak: self.peak.max(self.previous_window.peak), mean_milli }
     }
--- a/crates/connection-budget/src/fair_rotation.rs
+++ b/crates/connection-budget/src/fair_rotation.rs
@@ -1,28 +1,33 @@
-//! Whole connections of fractional shares: what is under one connection is had in turn.
+//! Turns fractional shares into whole connections, round by round: keys with less than a whole connection get one in
+//! turn.
 //!
-//! Each round everyone's share is added to its credit, and as many whole connections are allocated as the shares add up
-//! to, those first who would otherwise be owed one the soonest (earliest pseudo-deadline first; Srinivasan and Anderson,
-//! Fair scheduling of dynamic task systems on multiprocessors, 2005: nobody is late by more than a round). So nothing
-//! rounds to nothing for all, or to one each for all.
+//! Each round adds every key's share to its credit and allocates as many whole connections as the shares add up to,
+//! first to the keys with the earliest pseudo-deadline (Srinivasan and Anderson, Fair scheduling of dynamic task
+//! systems on multiprocessors, 2005: no key is late by more than a round). Rounding each share by itself could instead
+//! give no connection to any key, or one to every key.
+//!
+//! A turn is a number of consecutive rounds in which a key holds one connection for the fractional part of its share.
 
 use std::collections::BTreeMap;
 
-/// Thousandths of one connection.
+/// Thousandths in one connection.
 const MILLI: u64 = 1_000;
-/// The same, as credit.
+/// Credit of one whole connection for one round, thousandths.
 const ONE: i64 = MILLI as i64;
 
-/// Rotates whole connections among keys that each have a share.
+/// Rotates whole connections among keys, each of which has a share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FairRotation<K: Ord> {
-    /// What each key is owed, thousandths; negative: had in advance.
+    /// Connections that each key is still owed, thousandths of a connection for a round; negative if it was allocated
+    /// some in advance.
     credit: BTreeMap<K, i64>,
-    /// Thousandths of earlier rounds that made no whole connection together.
+    /// Part of the shares of earlier rounds that was not yet allocated as a whole connection, thousandths.
     carried: u64,
-    /// Rounds that a turn lasts.
+    /// Length of a turn, rounds.
     turn_rounds: u64,
+    /// Number of the current round.
     round: u64,
-    /// Keys that have a turn, and the round in which it ends.
+    /// Keys that have a turn, each with the round at which it ends.
     turns: BTreeMap<K, u64>,
 }
 
@@ -33,8 +38,9 @@
 }
 
 impl<K: Ord> FairRotation<K> {
-    /// Turns of so many rounds each, over which those who have one change a few at a time: where it takes a round for
-    /// something to change hands, a turn of one round is over before it has begun.
+    /// A rotation whose turns last up to this many rounds; of turns that begin together, a few end in each round. Turns
+    /// of more than one round are for connections that take a round to move from one key to another: a turn of one
+    /// round would be over before the connection could be used.
     pub fn with_turn_rounds(rounds: u64) -> FairRotation<K> {
         FairRotation {
             credit: BTreeMap::new(),
@@ -45,14 +51,16 @@
         }
     }
 
-    /// The longest wait between two turns, rounds, for a share in thousandths and turns of so many rounds.
+    /// Upper bound of the rounds between two turns of a key, for a share in thousandths and turns of `turn_rounds`
+    /// rounds.
     pub fn longest_wait_rounds(share: u64, turn_rounds: u64) -> u64 {
         (3_000 * turn_rounds).div_ceil(share.max(1))
     }
 }
 
 impl<K: Ord + Clone> FairRotation<K> {
-    /// Allocates a round of whole connections, no more than the shares (thousandths) add up to and `max` at most.
+    /// Allocates the whole connections of a round: about what the shares, in thousandths, add up to, with what earlier
+    /// rounds left over, and at most `max`.
     pub fn next_round(&mut self, shares: &BTreeMap<K, u64>, max: u64) -> BTreeMap<K, u64> {
         let sum: u64 = shares.values().sum();
         let whole = ((sum + self.carried) / MILLI).min(max);
@@ -60,7 +68,8 @@
         self.allocate(shares, whole)
     }
 
-    /// Allocates a round of so many whole connections, which are about what the shares add up to.
+    /// Allocates `whole` connections in a round. The caller ensures that over time they match the sum of the shares,
+    /// which are in thousandths.
     pub fn allocate(&mut self, shares: &BTreeMap<K, u64>, whole: u64) -> BTreeMap<K, u64> {
         self.begin_round(shares);
         let mut allocated = BTreeMap::new();
@@ -72,7 +81,7 @@
         allocated
     }
 
-    /// The round in which a key's turn ends; 0: it has none, and what it has goes on.
+    /// Number of the round at which a key's turn ends; 0 if it has none, as the whole part of a share needs no turn.
     pub fn turn_end(&self, key: &K) -> u64 {
         self.turns.get(key).copied().unwrap_or(0)
     }
@@ -81,32 +90,35 @@
         self.credit.get(key).copied().unwrap_or(0)
     }
 
+    /// Ends the turns that are over, and adds the shares to the credits.
     fn begin_round(&mut self, shares: &BTreeMap<K, u64>) {
-        // Who wants nothing any more is owed nothing, and owes nothing.
+        // A key without a share loses its credit or debt.
         self.credit.retain(|key, _| shares.contains_key(key));
         self.round += 1;
         let round = self.round;
         self.turns.retain(|key, end| *end > round && shares.contains_key(key));
         for (key, share) in shares {
-            // No more than two turns are ever owed: where there were fewer than the shares, what was missed is gone.
+            // The credit is limited to two turns: what a key missed while there were fewer connections than the shares
+            // add up to is not made up for without limit.
             let max = 2 * ONE * self.turn_rounds as i64 + *share as i64;
             let credit = self.credit.entry(key.clone()).or_default();
             *credit = credit.saturating_add(i64::try_from(*share).unwrap_or(i64::MAX)).min(max);
         }
     }
 
-    /// Whole connections of shares of one or more, those first who are owed most; returns how many.
+    /// Allocates the whole part of shares of at least one connection, in the order of falling credit; returns how many
+    /// connections that took.
     fn allocate_whole_shares(
         &mut self,
         shares: &BTreeMap<K, u64>,
         available: u64,
         allocated: &mut BTreeMap<K, u64>,
     ) -> u64 {
-        let of_one_or_more = shares.iter().filter(|(_, share)| **share >= MILLI);
-        let mut due: Vec<(i64, &K)> = of_one_or_more.map(|(key, _)| (self.credit(key), key)).collect();
-        due.sort_unstable_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(b.1)));
+        let at_least_one = shares.iter().filter(|(_, share)| **share >= MILLI);
+        let mut by_credit: Vec<(i64, &K)> = at_least_one.map(|(key, _)| (self.credit(key), key)).collect();
+        by_credit.sort_unstable_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(b.1)));
         let mut left = available;
-        for (_, key) in due {
+        for (_, key) in by_credit {
             let count = (shares[key] / MILLI).min(left);
             left -= count;
             if let Some(credit) = self.credit.get_mut(key).filter(|_| count > 0) {
@@ -117,7 +129,8 @@
         available - left
     }
 
-    /// One connection for each turn that goes on: all that it costs was charged when it began. Returns how many.
+    /// Allocates one connection to each key whose turn goes on, as far as connections are left; the other turns end. A
+    /// turn's credit was deducted in full when it began. Returns how many connections that took.
     fn continue_turns(&mut self, available: u64, allocated: &mut BTreeMap<K, u64>) -> u64 {
         let mut left = available;
         let keys: Vec<K> = self.turns.keys().cloned().collect();
@@ -132,7 +145,8 @@
         available - left
     }
 
-    /// One connection each for those who would be owed one the soonest, of what is left of their shares.
+    /// Begins turns for the fractional parts of shares, in the order of their pseudo-deadlines, until no connection is
+    /// left or no key may begin one. Of turns that begin together, `ended_per_round` end in each round.
     fn begin_turns(
         &mut self,
         shares: &BTreeMap<K, u64>,
@@ -148,7 +162,7 @@
             }
             let count = usize::try_from(left).unwrap_or(usize::MAX);
             for (rank, key) in next.into_iter().take(count).enumerate() {
-                // Many turns that begin together end a few at a time.
+                // Turns of different lengths, so that those that begin together do not all end together.
                 let rounds = (self.turn_rounds as i64 - (rank as u64 / ended_per_round) as i64).max(1);
                 self.begin_turn(key, rounds);
                 *allocated.entry(key.clone()).or_default() += 1;
@@ -157,11 +171,11 @@
         }
     }
 
-    /// Keys without a turn that may begin one, in the order of their pseudo-deadlines.
+    /// Keys that may begin a turn, in the order of their pseudo-deadlines.
     fn by_deadline<'a>(&self, shares: &'a BTreeMap<K, u64>) -> Vec<&'a K> {
         let turn_rounds = self.turn_rounds as i64;
         let min_credit = if turn_rounds == 1 { 0 } else { -turn_rounds * ONE };
-        // Who is owed nothing comes only where nobody else is left.
+        // Keys without positive credit come last.
         let mut next: Vec<(bool, i64, i64, &K)> = shares
             .iter()
             .map(|(key, share)| (key, (*share % MILLI) as i64, self.credit(key)))
@@ -177,6 +191,7 @@
         next.into_iter().map(|(_, _, _, key)| key).collect()
     }
 
+    /// Begins a turn of a number of rounds and deducts all of its credit.
     fn begin_turn(&mut self, key: &K, rounds: i64) {
         if self.turn_rounds > 1 {
             self.turns.insert(key.clone(), self.round + rounds as u64);
--- a/crates/connection-budget/src/gateway_permits.rs
+++ b/crates/connection-budget/src/gateway_permits.rs
@@ -1,9 +1,9 @@
-//! A gateway's side of the ledger: counts the gateway's connections and decides whether one may be opened or used, and how
-//! many have to be closed.
+//! A gateway's side of the ledger: counts the gateway's connections and decides whether one may be opened or used, and
+//! how many have to be closed.
 //!
-//! A connection is counted from before it is opened until it is known to be closed at the server too, since one that was
-//! closed only by the gateway may still be open at the server. So the reported counts are never below what the servers
-//! hold.
+//! A connection is counted from before it is opened until it is known to be closed at the server too, since one that
+//! was closed only by the gateway may still be open at the server. So the reported counts are never below what the
+//! servers hold.
 
 use crate::received_grants::ReceivedGrants;
 use crate::report::{GatewayReport, MAX_REPORT_ENTRIES};
@@ -71,7 +71,8 @@
         self.grants.allowed(now, scope)
     }
 
-    /// Tenant classes that may have another connection open at a group. Whether a server has room for one is not checked.
+    /// Tenant classes that may have another connection open at a group. Whether a server has room for one is not
+    /// checked.
     pub fn tenants_with_room<'a>(
         &'a self,
         now: u64,
@@ -115,8 +116,8 @@
         !permit.budgeted || permit.scopes().iter().all(|scope| self.is_within(now, scope))
     }
 
-    /// Counts an idle connection against another tenant class, if it is of the same server and the other tenant class has
-    /// room; returns whether it was moved.
+    /// Counts an idle connection against another tenant class, if it is of the same server and the other tenant class
+    /// has room; returns whether it was moved.
     pub fn transfer(&mut self, now: u64, from: &ConnectionPermit, to: &ConnectionPermit) -> bool {
         let [server, tenant] = to.scopes();
         let permitted = !to.budgeted || self.has_room(now, &tenant) && self.is_within(now, &server);
@@ -128,8 +129,8 @@
         allowed
     }
 
-    /// Ends the counting of a connection. It may be called once the server is known to have closed the connection too or
-    /// has refused it, or when nothing was sent on the connection for the server's idle limit.
+    /// Ends the counting of a connection. It may be called once the server is known to have closed the connection too
+    /// or has refused it, or when nothing was sent on the connection for the server's idle limit.
     pub fn release(&mut self, permit: &ConnectionPermit) {
         for scope in permit.scopes() {
             if let Some(open) = self.open.get_mut(&scope) {
@@ -151,8 +152,8 @@
         self.open.is_empty()
     }
 
-    /// Scopes at which more connections are open than allowed, and how many of them have to be closed: idle ones at once,
-    /// busy ones after their responses. Only scopes for which `budgeted` is true are checked.
+    /// Scopes at which more connections are open than allowed, and how many of them have to be closed: idle ones at
+    /// once, busy ones after their responses. Only scopes for which `budgeted` is true are checked.
     pub fn excess(&self, now: u64, budgeted: impl Fn(&BudgetScope) -> bool) -> Vec<(BudgetScope, u32)> {
         let excess = self.open.iter().filter(|(scope, _)| budgeted(scope)).filter_map(|(scope, open)| {
             let excess = open.saturating_sub(self.allowed(now, scope));
@@ -161,8 +162,8 @@
         excess.collect()
     }
 
-    /// A report to the replicas with the newest epoch, the open connections at scopes where permits are being recalled, and
-    /// whether the process has drained. The caller adds the demand and the other fields.
+    /// A report to the replicas with the newest epoch, the open connections at scopes where permits are being recalled,
+    /// and whether the process has drained. The caller adds the demand and the other fields.
     pub fn report(&self) -> GatewayReport {
         let recalled = self.grants.newest_permits().filter(|(_, permits)| permits.is_being_recalled());
         let open_counts = recalled.map(|(scope, _)| (scope.clone(), self.open_count(scope)));
--- a/crates/connection-budget/src/ledger.rs
+++ b/crates/connection-budget/src/ledger.rs
@@ -1,10 +1,10 @@
-//! The ledger of permits: how many connections each gateway may have open at each scope, such that their sum never exceeds
-//! the scope's capacity.
+//! The ledger of permits: how many connections each gateway may have open at each scope, such that their sum never
+//! exceeds the scope's capacity.
 //!
-//! Only a free permit is granted. A permit becomes free when its gateway has acknowledged its recall, or when the gateway
-//! can no longer have a connection open under it. The caller decides when that is so: after a lease, the longest attempt
-//! and the server's idle limit have passed and, for the fallback permits of a process, once the process has ended. It
-//! then calls [`PermitLedger::expire_lease`], [`PermitLedger::expire_earlier_leases`] or
+//! Only a free permit is granted. A permit becomes free when its gateway has acknowledged its recall, or when the
+//! gateway can no longer have a connection open under it. The caller decides when that is so: after a lease, the
+//! longest attempt and the server's idle limit have passed and, for the fallback permits of a process, once the process
+//! has ended. It then calls [`PermitLedger::expire_lease`], [`PermitLedger::expire_earlier_leases`] or
 //! [`PermitLedger::earlier_processes_ended`].
 //!
 //! All operations are deterministic, so the ledger can be computed from a replicated log.
@@ -112,7 +112,8 @@
         state.flat_map(|state| state.permits.iter().map(|(gateway, permits)| (*gateway, permits)))
     }
 
-    /// Gateways that hold permits valid only under a lease, or of which an earlier process may hold permits of any kind.
+    /// Gateways that hold permits valid only under a lease, or of which an earlier process may hold permits of any
+    /// kind.
     pub fn leaseholders(&self) -> BTreeSet<GatewayId> {
         let mut gateways = BTreeSet::new();
         for state in self.scopes.values() {
@@ -137,8 +138,8 @@
     }
 
     /// Whether at each scope the sum of the targets is within the capacity, so that permits held beyond it are being
-    /// recalled. While the targets exceed a capacity that was lowered, whether no more permits are held than the targets
-    /// allow.
+    /// recalled. While the targets exceed a capacity that was lowered, whether no more permits are held than the
+    /// targets allow.
     pub fn is_consistent(&self) -> bool {
         self.scopes.values().all(ScopeState::is_consistent)
     }
@@ -184,8 +185,8 @@
         Ok(())
     }
 
-    /// Recalls permits of a gateway's current process: it has to reduce its open connections to `target`. Does nothing if
-    /// the gateway's target is not higher.
+    /// Recalls permits of a gateway's current process: it has to reduce its open connections to `target`. Does nothing
+    /// if the gateway's target is not higher.
     pub fn recall(&mut self, scope: &BudgetScope, gateway: GatewayId, target: u32) {
         let permits = self.scopes.get_mut(scope).and_then(|state| state.permits.get_mut(&gateway));
         let Some(permits) = permits.filter(|permits| target < permits.target) else { return };
@@ -193,9 +194,10 @@
         self.advance_epoch(gateway);
     }
 
-    /// Applies a gateway's acknowledgement: having seen the epoch `seen_epoch`, it has at most `open` connections open or
-    /// being opened at a scope, and opens none beyond the targets of that epoch. An acknowledgement of an older epoch than
-    /// the gateway's newest, or of another process, changes nothing: permits granted since must not be freed by it.
+    /// Applies a gateway's acknowledgement: having seen the epoch `seen_epoch`, it has at most `open` connections open
+    /// or being opened at a scope, and opens none beyond the targets of that epoch. An acknowledgement of an older
+    /// epoch than the gateway's newest, or of another process, changes nothing: permits granted since must not be freed
+    /// by it.
     pub fn acknowledge(
         &mut self,
         gateway: GatewayId,
@@ -218,7 +220,8 @@
     }
 
     /// Frees the permits that all processes of a gateway held only under a lease. To be called once none of their
-    /// connections can be open any more. Fallback permits stay held, since a gateway that is cut off goes on using them.
+    /// connections can be open any more. Fallback permits stay held, since a gateway that is cut off goes on using
+    /// them.
     pub fn expire_lease(&mut self, gateway: GatewayId) {
         let mut changed = false;
         for state in self.scopes.values_mut() {
@@ -273,8 +276,8 @@
         self.remove_closed_scopes();
     }
 
-    /// Frees all permits of earlier processes of a gateway, which have ended, as have their connections. Until then their
-    /// fallback permits stay held, since a paused process goes on using them when it is resumed.
+    /// Frees all permits of earlier processes of a gateway, which have ended, as have their connections. Until then
+    /// their fallback permits stay held, since a paused process goes on using them when it is resumed.
     pub fn earlier_processes_ended(&mut self, gateway: GatewayId) {
         self.scopes.values_mut().for_each(|state| {
             state.earlier.remove(&gateway);
--- a/crates/connection-budget/src/max_min.rs
+++ b/crates/connection-budget/src/max_min.rs
@@ -1,52 +1,56 @@
 //! Weighted max-min shares within floors and ceilings, in whole numbers.
 //!
-//! Shares are in thousandths of a connection, since a tenant's part is often under one: a
-//! [`FairRotation`](crate::FairRotation) makes whole connections of them. The share is the largest level at which everyone
-//! gets weight times level, but no less than the part of its floor that it wants and no more than it wants or its ceiling
-//! (water-filling; Bertsekas and Gallager, Data Networks, section 6.5.2).
+//! Shares are in thousandths of a connection, since a tenant's share is often below one connection; a
+//! [`FairRotation`](crate::FairRotation) turns them into whole connections. Each tenant class gets its weight times a
+//! common level, but no less than its floor as far as it has demand for it, and no more than its demand or its ceiling.
+//! The level is the largest at which the shares fit (water-filling; Bertsekas and Gallager, Data Networks, section
+//! 6.5.2).
 
 use crate::terms::Terms;
 
-/// Thousandths of one connection.
+/// Thousandths in one connection.
 const MILLI: u64 = 1_000;
-/// Levels are searched in this fraction of a thousandth.
+/// Levels are integers in units of a thousandth of a connection divided by this, so that rounding them is negligible.
 const LEVEL_SCALE: u128 = 1 << 20;
 
-/// What a tenant is entitled to, and wants.
+/// The terms and the demand of a tenant class, from which its share is computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Claim {
-    /// Its terms.
+    /// The terms of the tenant class at the group.
     pub terms: Terms,
-    /// What it has use for now, thousandths of a connection.
+    /// Connections that the tenant class demands now, thousandths.
     pub demand_milli: u64,
 }
 
 impl Claim {
-    /// What it could use: its demand, but no more than its ceiling.
+    /// Its demand, limited by its ceiling; thousandths of a connection.
     pub(crate) fn usable_milli(&self) -> u64 {
         let ceiling = self.terms.ceiling.map_or(u64::MAX, |ceiling| u64::from(ceiling) * MILLI);
         self.demand_milli.min(ceiling)
     }
 }
 
-/// What a tenant gets.
+/// The share of a tenant class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
-    /// Thousandths of a connection.
+    /// Connections that the tenant class gets, thousandths.
     pub connections_milli: u64,
-    /// Its floor as far as it can be kept, thousandths: less than the floor where servers are fewer than floors need.
+    /// Its floor, thousandths of a connection; reduced if there are fewer connections than the sum of all floors.
     pub floor_milli: u64,
-    /// Of its floor, what others have for now, thousandths at most: it has no use for it, and may lend it.
+    /// The part of the floor that others may use for now, thousandths of a connection: the tenant class has no demand
+    /// for it, and its loan allows it.
     pub lent_milli: u64,
 }
 
-/// A claim within its bounds, thousandths of a connection.
+/// The weight and the bounds of one claim; all but the weight in thousandths of a connection.
 struct Bounds {
     weight: u128,
     floor: u64,
-    /// The part of the floor that it wants.
+    /// The part of the floor for which there is demand: the smallest possible share.
     wanted_floor: u64,
+    /// The part of the floor that others may use for now.
     lent: u64,
+    /// The demand, limited by the ceiling: the largest possible share.
     usable: u64,
 }
 
@@ -54,12 +58,12 @@
     fn new(claim: &Claim, floor: u64) -> Bounds {
         let usable = claim.usable_milli();
         let wanted_floor = floor.min(usable);
-        let may_lend = claim.terms.loan.map_or(0, |loan| u64::from(loan.max_connections) * MILLI);
-        let lent = (floor - wanted_floor).min(may_lend);
+        let max_lent = claim.terms.loan.map_or(0, |loan| u64::from(loan.max_connections) * MILLI);
+        let lent = (floor - wanted_floor).min(max_lent);
         Bounds { weight: u128::from(claim.terms.weight), floor, wanted_floor, lent, usable }
     }
 
-    /// Nobody may have this: it is neither wanted nor lent.
+    /// The part of the floor that stays unused: there is no demand for it, and it may not be lent.
     fn reserved(&self) -> u64 {
         self.floor - self.wanted_floor - self.lent
     }
@@ -71,8 +75,9 @@
     }
 }
 
-/// Shares so many connections. The shares add up to no more than there are, and to all that is wanted or there, but for
-/// floors that are reserved for who may not lend them and for less than a thousandth each.
+/// Divides `connections` among the claims; the shares are in the order of the claims. Their sum is at most
+/// `connections`. It is less than both `connections` and the sum of the demands within ceilings only because of floors
+/// that may not be lent, of claims with weight 0, and of less than a thousandth of a connection per claim.
 pub fn max_min_shares(connections: u64, claims: &[Claim]) -> Vec<Share> {
     let total = connections.saturating_mul(MILLI);
     let floors = floors_within(total, claims);
@@ -81,9 +86,13 @@
     let available = total.saturating_sub(bounds.iter().map(Bounds::reserved).sum());
     let level = largest_level(total, available, &bounds);
     let mut shares: Vec<Share> = (bounds.iter())
-        .map(|b| Share { connections_milli: b.share_at(level), floor_milli: b.floor, lent_milli: b.lent })
+        .map(|bounds| Share {
+            connections_milli: bounds.share_at(level),
+            floor_milli: bounds.floor,
+            lent_milli: bounds.lent,
+        })
         .collect();
-    // What is left is under a thousandth each: it goes to the first that can have it.
+    // Rounding down leaves less than a thousandth per claim; the first claims that can use one more get one each.
     let mut rest = available.saturating_sub(shares.iter().map(|share| share.connections_milli).sum());
     for (share, bounds) in shares.iter_mut().zip(&bounds) {
         if rest > 0 && share.connections_milli < bounds.usable && bounds.weight > 0 {
@@ -94,9 +103,10 @@
     shares
 }
 
-/// The largest level at which the shares fit: their sum only grows with it.
+/// The largest level at which the shares fit into `available`. Found by bisection, as the sum of the shares never falls
+/// when the level rises.
 fn largest_level(total: u64, available: u64, bounds: &[Bounds]) -> u128 {
-    let sum = |level: u128| bounds.iter().map(|b| u128::from(b.share_at(level))).sum::<u128>();
+    let sum = |level: u128| bounds.iter().map(|bounds| u128::from(bounds.share_at(level))).sum::<u128>();
     let (mut low, mut high) = (0u128, (u128::from(total) + 1) * LEVEL_SCALE);
     while low + 1 < high {
         let middle = low + (high - low) / 2;
@@ -109,27 +119,28 @@
     low
 }
 
-/// Floors as far as they fit: who is first in the shed order loses its floor first, those of one order alike.
+/// The floors in thousandths of a connection, reduced until they fit into `total`: those with the highest shed order
+/// first, and those of the same shed order in proportion.
 fn floors_within(total: u64, claims: &[Claim]) -> Vec<u64> {
     let mut floors: Vec<u64> = claims.iter().map(|claim| u64::from(claim.terms.floor) * MILLI).collect();
-    let mut over = floors.iter().sum::<u64>().saturating_sub(total);
+    let mut excess = floors.iter().sum::<u64>().saturating_sub(total);
     let mut orders: Vec<u8> = claims.iter().map(|claim| claim.terms.shed_order).collect();
     orders.sort_unstable_by(|a, b| b.cmp(a));
     orders.dedup();
     for order in orders {
-        if over == 0 {
+        if excess == 0 {
             break;
         }
-        let of_order = |index: &usize| claims[*index].terms.shed_order == order;
-        let indices: Vec<usize> = (0..claims.len()).filter(of_order).collect();
+        let has_order = |index: &usize| claims[*index].terms.shed_order == order;
+        let indices: Vec<usize> = (0..claims.len()).filter(has_order).collect();
         let sum: u64 = indices.iter().map(|index| floors[*index]).sum();
-        let shed = over.min(sum);
+        let shed = excess.min(sum);
         for index in indices {
-            // Rounded up, so that all that must go goes.
-            let part = (u128::from(floors[index]) * u128::from(shed)).div_ceil(u128::from(sum.max(1)));
-            floors[index] -= u64::try_from(part).unwrap_or(u64::MAX).min(floors[index]);
+            // Rounded up, so that the reductions add up to at least `shed`.
+            let reduction = (u128::from(floors[index]) * u128::from(shed)).div_ceil(u128::from(sum.max(1)));
+            floors[index] -= u64::try_from(reduction).unwrap_or(u64::MAX).min(floors[index]);
         }
-        over -= shed;
+        excess -= shed;
     }
     floors
 }
--- a/crates/connection-budget/src/planner.rs
+++ b/crates/connection-budget/src/planner.rs
@@ -1,7 +1,7 @@
-//! From what each gateway should hold to the few changes of the ledger that bring it about.
+//! Plans the changes of the ledger that bring gateways to the permits that they should hold.
 //!
-//! Permits move only where somebody lacks one: as long as what is available covers that, nothing is recalled. So at rest
-//! nothing changes, however the permits lie.
+//! Permits are recalled only as far as other gateways lack more than is available. So once every gateway has what it
+//! should, nothing changes, however the permits are distributed over the scopes.
 
 use crate::ledger::{LedgerError, PermitLedger};
 use crate::scope::{BudgetScope, GatewayId};
@@ -12,40 +12,40 @@
 /// A change of the ledger. Stored by position: variants and fields must not move.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerChange {
-    /// A scope has so many connections from now on.
+    /// Sets the capacity of a scope.
     SetCapacity {
-        /// Which.
+        /// The scope whose capacity is set.
         scope: BudgetScope,
-        /// Connections; 0: nothing more is granted there, and it is forgotten once all is back.
+        /// Connections; 0 closes the scope: all its permits are recalled, and it is removed once none are held.
         capacity: u32,
     },
-    /// Available permits are granted.
+    /// Grants available permits to a gateway.
     Grant {
-        /// Where.
+        /// The scope of the permits.
         scope: BudgetScope,
-        /// To whom.
+        /// The gateway that receives them.
         gateway: GatewayId,
-        /// How many.
+        /// Number of permits.
         count: u32,
-        /// Of them, its own also without a lease.
+        /// Number of them that the gateway may use without a lease too.
         fallback: u32,
     },
-    /// Permits are recalled.
+    /// Recalls permits from a gateway.
     Recall {
-        /// Where.
+        /// The scope of the permits.
         scope: BudgetScope,
-        /// From whom.
+        /// The gateway that has to give up permits.
         gateway: GatewayId,
-        /// Permits that it has to come down to.
+        /// Number of permits to which the gateway has to reduce its open connections.
         target: u32,
     },
 }
 
 impl LedgerChange {
-    /// Applies it.
+    /// Applies the change to a ledger.
     ///
     /// # Errors
-    /// The ledger rejects it: nothing has changed.
+    /// The ledger rejects a grant and is unchanged; see [`PermitLedger::grant`].
     pub fn apply(&self, ledger: &mut PermitLedger) -> Result<(), LedgerError> {
         match self {
             LedgerChange::SetCapacity { scope, capacity: 0 } => ledger.close(scope),
@@ -59,21 +59,23 @@
     }
 }
 
-/// What a gateway should hold over some scopes.
+/// The permits that a gateway should hold over a set of scopes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PermitTarget {
-    /// Permits.
+    /// Number of permits.
     pub count: u32,
-    /// Of them, its own also without a lease.
+    /// Number of them that the gateway may use without a lease too.
     pub fallback: u32,
-    /// It is served before others: a tenant of it is below its floor there.
+    /// Whether a tenant class with demand at the gateway holds less than its floor; such a gateway is served first.
     pub below_floor: bool,
-    /// When its turn ends, on any scale: who has less time left is served first. (By gateway numbers alone, one whose turn
-    /// began a round ago and had to wait for a recall lost it to the next, and some were never served.)
+    /// Time or round at which the gateway's turn ends; 0 if it has none. The gateway whose turn ends earliest is served
+    /// first. If only gateway numbers decided, a gateway that had to wait a round for a recall would lose its turn to
+    /// one that begins later, and some gateways would never be served.
     pub turn_end: u64,
 }
 
-/// The changes that bring some scopes nearer to what is wanted of them together, at most `max_changes`; none at rest.
+/// Plans at most `max_changes` changes that bring the permits over all `scopes` together closer to `wanted`; none if no
+/// gateway lacks permits and no scope is over its capacity.
 pub fn plan(
     ledger: &PermitLedger,
     scopes: &[BudgetScope],
@@ -83,7 +85,8 @@
     plan_changes(ledger, scopes, wanted, max_changes, false)
 }
 
-/// Like [`plan`], but permits over the targets are recalled even where nobody lacks them here: they are lacked elsewhere.
+/// Like [`plan`], but recalls all permits beyond the wanted counts, even if no gateway lacks permits at these scopes,
+/// because they are lacked elsewhere.
 pub(crate) fn plan_recalling(
     ledger: &PermitLedger,
     scopes: &[BudgetScope],
@@ -100,19 +103,19 @@
     max_changes: usize,
     recall_all_excess: bool,
 ) -> Vec<LedgerChange> {
-    let situation = Situation::new(ledger, scopes, wanted);
-    let mut to_recall = situation.to_recall();
+    let comparison = Comparison::new(ledger, scopes, wanted);
+    let mut to_recall = comparison.to_recall();
     if recall_all_excess {
-        to_recall = to_recall.max(situation.excess());
+        to_recall = to_recall.max(comparison.excess());
     }
     let over_capacity: Vec<u64> = scopes.iter().map(|scope| over_capacity(ledger, scope)).collect();
-    if to_recall == 0 && situation.lacking.is_empty() && over_capacity.iter().all(|over| *over == 0) {
+    if to_recall == 0 && comparison.lacking.is_empty() && over_capacity.iter().all(|over| *over == 0) {
         return vec![];
     }
-    let Situation { targets, lacking, .. } = situation;
+    let Comparison { targets, lacking, .. } = comparison;
     let after = ledger.subset(scopes);
     let mut plan = Plan { after, scopes, wanted, targets, changes: vec![], max_changes };
-    // A scope whose capacity was lowered has to be relieved whether anybody lacks permits or not.
+    // Permits beyond a capacity that was lowered are recalled whether or not any gateway lacks permits.
     for (scope, over) in scopes.iter().zip(over_capacity) {
         let recalled = plan.recall_excess(scope, over);
         plan.recall_from_largest(scope, over - recalled);
@@ -126,29 +129,29 @@
     plan.changes
 }
 
-/// How far the targets of a scope exceed its capacity.
+/// Number of permits by which the targets at a scope exceed its capacity.
 fn over_capacity(ledger: &PermitLedger, scope: &BudgetScope) -> u64 {
     let targets: u64 = ledger.permits_at(scope).map(|(_, permits)| u64::from(permits.target)).sum();
     targets.saturating_sub(ledger.capacity(scope))
 }
 
-/// What gateways have of some scopes, against what they should have.
-struct Situation<'a> {
+/// The permits that gateways have over some scopes together, compared with those that they should have.
+struct Comparison<'a> {
     wanted: &'a BTreeMap<GatewayId, PermitTarget>,
-    /// Sums of the targets in the ledger.
+    /// Sum of each gateway's targets in the ledger over the scopes.
     targets: BTreeMap<GatewayId, u32>,
-    /// Permits that are available, or already recalled.
+    /// Permits that are available or already being recalled.
     available: u64,
-    /// What gateways lack, in the order in which they are served.
+    /// Permits that gateways lack, in the order in which the gateways are served.
     lacking: Vec<(GatewayId, u32)>,
 }
 
-impl<'a> Situation<'a> {
+impl<'a> Comparison<'a> {
     fn new(
         ledger: &PermitLedger,
         scopes: &[BudgetScope],
         wanted: &'a BTreeMap<GatewayId, PermitTarget>,
-    ) -> Situation<'a> {
+    ) -> Comparison<'a> {
         let mut targets: BTreeMap<GatewayId, u32> = BTreeMap::new();
         let mut available: u64 = scopes.iter().map(|scope| u64::from(ledger.available(scope))).sum();
         for (gateway, permits) in scopes.iter().flat_map(|scope| ledger.permits_at(scope)) {
@@ -160,40 +163,42 @@
             .map(|(gateway, target)| (*gateway, target.count.saturating_sub(has(gateway))))
             .filter(|(_, lacks)| *lacks > 0)
             .collect();
-        // Who is below a floor is served first, then who has least, then whose turn ends soonest; the gateway's number
-        // decides between equals.
+        // Order of service: gateways below a floor, then those that have fewest, then those whose turn ends earliest,
+        // then those that lack most; the gateway's number decides between equals.
         lacking.sort_by_key(|(gateway, lacks)| {
             let target = wanted.get(gateway).copied().unwrap_or_default();
             (!target.below_floor, has(gateway), target.turn_end, Reverse(*lacks), *gateway)
         });
-        Situation { wanted, targets, available, lacking }
+        Comparison { wanted, targets, available, lacking }
     }
 
-    /// Permits that have to be recalled for those who lack some.
+    /// Number of permits that have to be recalled, beyond those available, for the gateways that lack some.
     fn to_recall(&self) -> u64 {
         let lacking: u64 = self.lacking.iter().map(|(_, lacks)| u64::from(*lacks)).sum();
         lacking.saturating_sub(self.available)
     }
 
-    /// Permits that gateways have beyond what they should.
+    /// Number of permits that gateways have beyond those that they should have.
     fn excess(&self) -> u64 {
         let wanted = |gateway: &GatewayId| self.wanted.get(gateway).map_or(0, |target| target.count);
         self.targets.iter().map(|(gateway, has)| u64::from(has.saturating_sub(wanted(gateway)))).sum()
     }
 }
 
-/// What is planned so far, on a copy of the ledger, so that each change sees the ones before it.
+/// The changes planned so far, applied to a copy of the ledger, so that each change sees the ones before it.
 struct Plan<'a> {
+    /// The scopes of the ledger after the planned changes.
     after: PermitLedger,
     scopes: &'a [BudgetScope],
     wanted: &'a BTreeMap<GatewayId, PermitTarget>,
+    /// Sum of each gateway's targets over the scopes, less the recalls planned so far.
     targets: BTreeMap<GatewayId, u32>,
     changes: Vec<LedgerChange>,
     max_changes: usize,
 }
 
 impl Plan<'_> {
-    /// Adds a change; false if there are too many, or the ledger rejects it.
+    /// Adds a change to the plan; false if the plan already has `max_changes`, or the ledger rejects the change.
     fn push(&mut self, change: LedgerChange) -> bool {
         let merged = self.merge(&change);
         if !merged && self.changes.len() >= self.max_changes {
@@ -211,30 +216,37 @@
         true
     }
 
-    /// Adds a grant to the last change, if that is one of the same scope and gateway.
+    /// Adds a grant to the last planned change, if that is a grant of the same scope to the same gateway; returns
+    /// whether it was.
     fn merge(&mut self, change: &LedgerChange) -> bool {
         let (
             Some(LedgerChange::Grant { scope, gateway, count, fallback }),
-            LedgerChange::Grant { scope: to, gateway: whose, count: more, fallback: more_fallback },
+            LedgerChange::Grant {
+                scope: new_scope,
+                gateway: new_gateway,
+                count: new_count,
+                fallback: new_fallback,
+            },
         ) = (self.changes.last_mut(), change)
         else {
             return false;
         };
-        let same = scope == to && gateway == whose;
-        if same {
-            (*count, *fallback) = (*count + more, *fallback + more_fallback);
+        let same_holder = scope == new_scope && gateway == new_gateway;
+        if same_holder {
+            (*count, *fallback) = (*count + new_count, *fallback + new_fallback);
         }
-        same
+        same_holder
     }
 
-    /// Undoes the merge of one permit.
+    /// Undoes the merge of a grant of one permit.
     fn unmerge(&mut self) {
         if let Some(LedgerChange::Grant { count, fallback, .. }) = self.changes.last_mut() {
             (*count, *fallback) = (count.saturating_sub(1), fallback.saturating_sub(1));
         }
     }
 
-    /// Recalls up to so many permits of a scope from gateways that have more than they should; returns how many.
+    /// Recalls up to `count` permits of a scope from gateways that have more than they should, first from those with
+    /// the largest excess; returns how many.
     fn recall_excess(&mut self, scope: &BudgetScope, count: u64) -> u64 {
         let excess = |gateway: GatewayId| {
             let wanted = self.wanted.get(&gateway).map_or(0, |target| target.count);
@@ -247,17 +259,18 @@
         gateways.sort_by_key(|(excess, gateway, target)| (Reverse(*excess), Reverse(*target), *gateway));
         let mut recalled = 0;
         for (excess, gateway, target) in gateways {
-            let some = u64::from(excess.min(target)).min(count - recalled);
-            let some = u32::try_from(some).unwrap_or(u32::MAX);
-            if some == 0 || !self.recall(scope, gateway, target - some) {
+            let reduction = u64::from(excess.min(target)).min(count - recalled);
+            let reduction = u32::try_from(reduction).unwrap_or(u32::MAX);
+            if reduction == 0 || !self.recall(scope, gateway, target - reduction) {
                 break;
             }
-            recalled += u64::from(some);
+            recalled += u64::from(reduction);
         }
         recalled
     }
 
-    /// Recalls so many permits of a scope whoever has them: one by one from the gateway that then has most there.
+    /// Recalls `count` permits of a scope even from gateways that have no excess: each one from the gateway that has
+    /// most at the scope at that point.
     fn recall_from_largest(&mut self, scope: &BudgetScope, count: u64) {
         if count == 0 {
             return;
@@ -276,23 +289,25 @@
         }
     }
 
+    /// Plans a recall from a gateway; false if the plan already has `max_changes`.
     fn recall(&mut self, scope: &BudgetScope, gateway: GatewayId, target: u32) -> bool {
         let before = self.after.permits(scope, gateway).target;
-        let done = self.push(LedgerChange::Recall { scope: scope.clone(), gateway, target });
-        if let Some(sum) = self.targets.get_mut(&gateway).filter(|_| done) {
+        let planned = self.push(LedgerChange::Recall { scope: scope.clone(), gateway, target });
+        if let Some(sum) = self.targets.get_mut(&gateway).filter(|_| planned) {
             *sum = sum.saturating_sub(before - target);
         }
-        done
+        planned
     }
 
-    /// Grants a gateway up to so many available permits, where it has fewest and most are available.
+    /// Grants a gateway up to `count` available permits, each at the scope where it has fewest; of several such scopes,
+    /// where most are available.
     fn grant(&mut self, gateway: GatewayId, count: u32) {
         let wanted = self.wanted.get(&gateway).copied().unwrap_or_default();
         let fallback = |scope| self.after.permits(scope, gateway).fallback;
         let mut has_fallback: u32 = self.scopes.iter().map(fallback).sum();
         for _ in 0..count {
-            let open = self.scopes.iter().filter(|scope| self.after.available(scope) > 0);
-            let best = open.min_by_key(|scope| {
+            let candidates = self.scopes.iter().filter(|scope| self.after.available(scope) > 0);
+            let best = candidates.min_by_key(|scope| {
                 let has = self.after.permits(scope, gateway).target;
                 (has, Reverse(self.after.available(scope)), (*scope).clone())
             });
--- a/crates/connection-budget/src/policy.rs
+++ b/crates/connection-budget/src/policy.rs
@@ -40,8 +40,8 @@
 }
 
 impl Budget {
-    /// How long a gateway keeps an idle connection at most, milliseconds. It is shorter than the server's limit, so that
-    /// no request is sent on a connection that the server is just closing.
+    /// How long a gateway keeps an idle connection at most, milliseconds. It is shorter than the server's limit, so
+    /// that no request is sent on a connection that the server is just closing.
     pub fn gateway_idle_limit_ms(&self) -> u64 {
         self.idle_ms - self.idle_ms / 4
     }
--- a/crates/connection-budget/src/received_grants.rs
+++ b/crates/connection-budget/src/received_grants.rs
@@ -1,4 +1,5 @@
-//! The permits that the replicas have granted a gateway: the latest grant of each replica, and what they allow together.
+//! The permits that the replicas have granted a gateway: the latest grant of each replica, and what they allow
+//! together.
 
 use crate::scope::{BudgetScope, Epoch, GatewayId, PermitCounts, PermitList};
 use serde::{Deserialize, Serialize};
@@ -32,8 +33,8 @@
 /// The permits that the replicas have granted a gateway.
 ///
 /// A replica may lag behind, and permits that its grant still contains may have been granted to another gateway by a
-/// majority. So at each scope a gateway may use the largest count that the unexpired grants of a quorum all allow, and no
-/// more than the newest grant allows.
+/// majority. So at each scope a gateway may use the largest count that the unexpired grants of a quorum all allow, and
+/// no more than the newest grant allows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedGrants {
     /// By number of the configuration.
@@ -51,8 +52,8 @@
         self.quorums = quorums;
     }
 
-    /// Records a replica's grant in place of its earlier one; `expires_at` is in microseconds. A grant that refers to an
-    /// epoch whose permits are not known here is ignored.
+    /// Records a replica's grant in place of its earlier one; `expires_at` is in microseconds. A grant that refers to
+    /// an epoch whose permits are not known here is ignored.
     pub fn receive(&mut self, replica: GatewayId, config: u32, grant: PermitGrant, expires_at: u64) {
         let epoch = match grant {
             PermitGrant::Unchanged(epoch) if self.permits.contains_key(&epoch) => epoch,
@@ -104,15 +105,15 @@
         by_lease.max().unwrap_or(0).min(newest.target).max(without_lease)
     }
 
-    /// Whether the grants of a quorum are unexpired at the time `now`, microseconds; if not, only fallback permits may be
-    /// used.
+    /// Whether the grants of a quorum are unexpired at the time `now`, microseconds; if not, only fallback permits may
+    /// be used.
     pub fn has_lease(&self, now: u64) -> bool {
         let mut quorums = self.quorums.iter();
         quorums.any(|(config, (voters, quorum))| self.unexpired(now, *config, voters).count() >= *quorum)
     }
 
-    /// A value that changes whenever the permits of the newest epoch or the epoch of a replica's latest grant change, and
-    /// not when only an expiry time changes.
+    /// A value that changes whenever the permits of the newest epoch or the epoch of a replica's latest grant change,
+    /// and not when only an expiry time changes.
     pub fn state_key(&self) -> (Epoch, Vec<Epoch>) {
         (self.newest_epoch, self.latest.values().map(|grant| grant.epoch).collect())
     }
--- a/crates/connection-budget/src/report.rs
+++ b/crates/connection-budget/src/report.rs
@@ -30,7 +30,8 @@
     pub open_counts: Vec<(BudgetScope, u32)>,
     /// Demand by group and tenant class.
     pub demand: Vec<TenantDemand>,
-    /// By name of the group's budget: largest number of connections that all tenants together demanded at the same time.
+    /// By name of the group's budget: largest number of connections that all tenants together demanded at the same
+    /// time.
     pub group_peaks: Vec<(String, u32)>,
     /// Zones that the gateway cannot reach.
     pub unavailable_zones: BTreeSet<String>,
--- a/crates/connection-budget/src/scope_state.rs
+++ b/crates/connection-budget/src/scope_state.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Frees recalled permits after a gateway's acknowledgement that it has at most `open` connections open and keeps to
-    /// its targets; false if that changes nothing.
+    /// Frees recalled permits after a gateway's acknowledgement that it has at most `open` connections open and keeps
+    /// to its targets; false if that changes nothing.
     pub(crate) fn acknowledge(&mut self, gateway: GatewayId, open: u32) -> bool {
         let Some(permits) = self.permits.get_mut(&gateway) else { return false };
         let held = open.max(permits.target).min(permits.held);
--- a/crates/connection-budget/src/spreading.rs
+++ b/crates/connection-budget/src/spreading.rs
@@ -1,16 +1,18 @@
-//! Spreading of a number over gateways: as evenly as possible, the same way wherever it is computed.
+//! Divides a number of connections over gateways as evenly as possible, with the same result in every process.
 
 use crate::scope::GatewayId;
 use crate::tenant_class::TenantClass;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// FNV-1a, 64 bit.
+/// Offset basis of FNV-1a, 64 bit.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of FNV-1a, 64 bit.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Multiplier of the final mix (splitmix64).
+/// Multiplier of the final mixing step, from splitmix64.
 const MIX: u64 = 0xbf58_476d_1ce4_e5b9;
 
-/// Spreads whole permits of a tenant over a fleet. What does not divide goes to gateways chosen by hash, always the same.
+/// Divides `count` permits of a tenant class evenly over the gateways of a fleet. The remainder goes one permit each to
+/// gateways chosen by a hash of the tenant class and the gateway, so the choice does not change from round to round.
 pub fn spread_evenly(
     tenant_class: &TenantClass,
     count: u64,
@@ -29,7 +31,7 @@
     shares.filter(|(_, count)| *count > 0).collect()
 }
 
-/// A number for a tenant at a gateway, the same in each process.
+/// A hash of a tenant class and a gateway, the same in every process.
 fn placement_hash(tenant_class: &TenantClass, gateway: GatewayId) -> u64 {
     let class = tenant_class.class.as_deref().unwrap_or("");
     let bytes = tenant_class.tenant.bytes().chain([0]).chain(class.bytes()).chain(gateway.to_be_bytes());
@@ -37,8 +39,8 @@
     (hash ^ (hash >> 29)).wrapping_mul(MIX)
 }
 
-/// Divides thousandths of a connection over gateways alike, none more than its demand. What is left of a thousandth each
-/// starts at another gateway each round.
+/// Divides thousandths of a connection over gateways: each gets an equal share, or its demand if that is less.
+/// Thousandths that do not divide evenly go to different gateways each round.
 pub fn fill_evenly(
     available_milli: u64,
     mut demand_milli: Vec<(GatewayId, u64)>,
@@ -50,7 +52,7 @@
     for (index, (gateway, demand)) in demand_milli.iter().enumerate() {
         let each = left / count;
         if *demand > each {
-            // All that are left want more than an equal share.
+            // Every gateway from here on demands more than an equal share.
             let rest = left % count;
             let start = round % count;
             for (offset, (gateway, demand)) in demand_milli[index..].iter().enumerate() {
