--- a/crates/connection-budget/src/verification/error.rs
+++ b/crates/connection-budget/src/verification/error.rs
@@ -1,15 +1,15 @@
-//! Findings of the verification. Their texts are sent to editors: they are part of the wire format.
+//! The problems that the verification can find. Their texts are sent to the people who edit a policy.
 
 use std::cmp::Ordering;
 use std::fmt;
 
-/// A place in the policy, and what is wrong there.
+/// A problem of a policy, with the path of the setting that causes it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {reason}")]
 pub struct PolicyError {
-    /// Path of the setting, as `rules[3].set.floor`.
+    /// Path of the setting, such as `rules[3].set.floor`.
     pub path: String,
-    /// What is wrong.
+    /// The problem that the setting causes.
     pub reason: PolicyProblem,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a name in a policy stands for.
+/// The kind of thing that a name in a policy refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameKind {
     /// A tenant.
@@ -61,167 +61,179 @@
     }
 }
 
-/// What is wrong with a setting of a policy. `when` names the combination of conditions under which it is so; rules are
-/// described by index and name.
+/// A problem of a setting in a policy. Fields that name a rule hold its name only or, if they are called `..._rule` or
+/// `largest`, its index and name; `when` describes the combination of conditions under which the problem arises.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyProblem {
     /// A list has more entries than allowed.
-    #[error("are {count}, {max} at most")]
+    #[error("are {count}, but at most {max} are allowed")]
     TooMany {
-        /// Entries.
+        /// Number of entries.
         count: usize,
-        /// Entries allowed.
+        /// Largest allowed number of entries.
         max: usize,
     },
     /// A budget has no connections, or too many.
-    #[error("is {connections}, 1 to {max} may be")]
+    #[error("is {connections}, but must be from 1 to {max}")]
     ConnectionsOutOfRange {
-        /// Connections of one server.
+        /// Connections of each server of the budget.
         connections: u32,
-        /// Connections allowed.
+        /// Largest allowed number of connections.
         max: u32,
     },
     /// A figure is too large.
-    #[error("is {value}, {max} at most")]
+    #[error("is {value}, but must be at most {max}")]
     AboveMaximum {
-        /// The figure.
+        /// The figure, in the unit of the setting.
         value: u64,
-        /// The largest allowed.
+        /// The largest allowed figure.
         max: u64,
     },
-    /// A duration is zero.
-    #[error("is zero")]
+    /// The longest duration of a request or the interval of allocation rounds is zero.
+    #[error("is 0, but must be greater than 0")]
     ZeroDuration,
-    /// The idle limit is zero.
-    #[error("is zero: what a stopped gateway held would never be free")]
+    /// The servers' idle limit is zero.
+    #[error(
+        "is 0, but must be greater than 0: without an idle limit of the servers, connections of a stopped gateway would \
+         never become free"
+    )]
     ZeroIdleLimit,
-    /// A condition has no name, or one that reads as a negation.
-    #[error("a name is not empty and does not begin with !")]
+    /// The name of a condition is empty, or begins as a negation does.
+    #[error("the name of a condition must not be empty and must not begin with '!', which negates a condition")]
     InvalidConditionName,
-    /// A usage condition ends at or above the mark where it begins.
-    #[error("is not under percent: it would flap")]
+    /// A usage condition does not end at a lower percentage than it begins.
+    #[error("must be less than percent, or the condition would flap")]
     NoHysteresis,
-    /// A time of day is past midnight.
-    #[error("minutes from midnight are under 1440")]
+    /// A time of day is not a minute of the day.
+    #[error("from_min must be at most 1439 and to_min at most 1440, in minutes from midnight")]
     MinuteOutOfRange,
-    /// A time of day never begins.
-    #[error("begin and end in the same minute")]
+    /// A time of day begins and ends in the same minute, so it is never active.
+    #[error("from_min and to_min are the same minute, so the condition would never be active")]
     EmptyTimeOfDay,
     /// Two rules have the same name.
-    #[error("'{name}' is that of rules[{first}] too")]
+    #[error("'{name}' is already the name of rules[{previous}]")]
     DuplicateRuleName {
-        /// The name.
+        /// The name of both rules.
         name: String,
-        /// Index of the first rule of that name.
-        first: usize,
+        /// Index of the previous rule of that name.
+        previous: usize,
     },
-    /// A rule sets nothing.
-    #[error("is empty")]
+    /// A rule sets no term.
+    #[error("is empty, but a rule must set at least one term")]
     NoOverrides,
-    /// A loan has to be recalled in no time.
-    #[error("is zero: {connections} connections cannot be back at once")]
+    /// A loan allows connections to be lent, but no time to recall them.
+    #[error("is 0, but must be greater than 0: {connections} connections may be lent and cannot be recalled at once")]
     ZeroRecallTime {
         /// Connections that may be lent.
         connections: u32,
     },
-    /// Nothing has this name.
+    /// A name refers to nothing that exists.
     #[error("there is no {kind} '{name}'")]
     UnknownName {
-        /// What it should name.
+        /// The kind of thing that the name should refer to.
         kind: NameKind,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// Two budgets are for the same zone.
-    #[error("is that of '{other}' too: a server has one budget")]
+    /// Two budgets are for the same zone, or both have none.
+    #[error("is the same as that of budget '{other}', but each server must have only one budget")]
     DuplicateZone {
-        /// The other budget.
+        /// Name of the other budget.
         other: String,
     },
-    /// A budget is for no server.
-    #[error("has no servers")]
+    /// No server that accepts requests belongs to a budget.
+    #[error("the budget has no servers")]
     NoServers,
-    /// A rule applies to nobody.
-    #[error("'{rule}' is for nobody: no tenant, class and group fit it")]
+    /// The selector of a rule matches no tenant class at any group.
+    #[error("'{rule}' selects nothing: no tenant, class and group match its selector")]
     UnmatchedRule {
-        /// Its name.
+        /// Name of the rule.
         rule: String,
     },
-    /// The conditions of a rule never hold together.
-    #[error("'{rule}' never holds: its conditions exclude each other")]
+    /// The conditions of a rule are never met together.
+    #[error("'{rule}' never applies: its conditions exclude each other")]
     ContradictoryRule {
-        /// Its name.
+        /// Name of the rule.
         rule: String,
     },
     /// Later rules override all that a rule sets.
-    #[error("'{rule}' changes nothing: later rules set all that it sets, whenever it holds")]
+    #[error("'{rule}' has no effect: whenever it applies, later rules override all that it sets")]
     OverriddenRule {
-        /// Its name.
+        /// Name of the rule.
         rule: String,
     },
     /// Fallback permits and loan together exceed the floor.
     #[error(
-        "ground {fallback} and lend {lent} of {tenant} at '{budget}' are over its floor {floor}, by {floor_rule} and \
-         {rule}, {when}"
+        "ground {fallback} and lend.up_to {lent} of tenant '{tenant}' at budget '{budget}' together exceed its floor \
+         {floor}, {when}: {floor_rule} sets the floor, {rule} sets ground or lend"
     )]
     ReservedAboveFloor {
-        /// Fallback permits.
+        /// Fallback permits of the tenant class.
         fallback: u32,
         /// Connections that may be lent.
         lent: u32,
-        /// Whose.
+        /// Name of the tenant.
         tenant: String,
-        /// At which budget.
+        /// Name of the budget.
         budget: String,
-        /// Its floor.
+        /// Floor of the tenant class, connections.
         floor: u32,
-        /// The rule of the floor.
+        /// The rule that sets the floor.
         floor_rule: String,
-        /// The rule of the fallback permits, or else of the loan.
+        /// The rule that sets the fallback permits or, if none does, the loan; by index and name.
         rule: String,
-        /// Under which conditions.
+        /// The combination of conditions.
         when: String,
     },
-    /// A loan cannot be recalled so fast.
-    #[error("is {recall_ms}, at '{budget}' a turn and an attempt take {soonest_ms}: it could not be kept")]
+    /// A loan cannot be recalled in the time that its rule allows.
+    #[error(
+        "is {recall_ms}, but must be at least {soonest_ms}: at budget '{budget}' a recall can take turn_ms and \
+         attempt_ms together"
+    )]
     RecallTooFast {
-        /// The time that the rule sets, milliseconds.
+        /// The time that the rule allows, milliseconds.
         recall_ms: u64,
-        /// At which budget.
+        /// Name of the budget.
         budget: String,
-        /// The shortest possible time, milliseconds.
+        /// The shortest time that can be kept, milliseconds.
         soonest_ms: u64,
     },
-    /// A ceiling is under the floor.
-    #[error("{ceiling} is under the floor {floor} of {tenant} at '{budget}', by {floor_rule} and {ceiling_rule}, {when}")]
+    /// A ceiling is below the floor.
+    #[error(
+        "{ceiling} is below the floor {floor} of tenant '{tenant}' at budget '{budget}', {when}: {floor_rule} sets the \
+         floor, {ceiling_rule} sets the ceiling"
+    )]
     CeilingBelowFloor {
-        /// The ceiling.
+        /// Ceiling of the tenant class, connections.
         ceiling: u32,
-        /// The floor.
+        /// Floor of the tenant class, connections.
         floor: u32,
-        /// Whose.
+        /// Name of the tenant.
         tenant: String,
-        /// At which budget.
+        /// Name of the budget.
         budget: String,
-        /// The rule of the floor.
+        /// The rule that sets the floor.
         floor_rule: String,
-        /// The rule of the ceiling.
+        /// The rule that sets the ceiling.
         ceiling_rule: String,
-        /// Under which conditions.
+        /// The combination of conditions.
         when: String,
     },
-    /// The floors exceed the budget.
-    #[error("floors at '{budget}' add up to {sum}, it has {connections}, {when}: {largest}")]
+    /// The sum of the floors exceeds the connections of a budget.
+    #[error(
+        "floors at budget '{budget}' add up to {sum}, but its servers have {connections} connections, {when}; the \
+         largest sums are set by {largest}"
+    )]
     FloorsAboveBudget {
-        /// Which budget.
+        /// Name of the budget.
         budget: String,
-        /// Sum of the floors.
+        /// Sum of the floors, connections.
         sum: u64,
-        /// What the budget has.
+        /// Connections of all servers of the budget.
         connections: u64,
-        /// Under which conditions.
+        /// The combination of conditions.
         when: String,
-        /// The rules that add most, with what they add.
+        /// The rules that set the largest sums of floors, each with its sum.
         largest: String,
     },
 }
--- a/crates/connection-budget/src/verification/limits.rs
+++ b/crates/connection-budget/src/verification/limits.rs
@@ -1,4 +1,5 @@
-//! Figures that are out of range by themselves.
+//! Verifies what can be judged from the policy alone: ranges of figures, numbers of entries, names of conditions and
+//! rules.
 
 use super::{PolicyError, PolicyProblem};
 use crate::policy::{
@@ -6,13 +7,13 @@
 };
 use std::collections::BTreeMap;
 
-/// Connections of one server at most, so that sums stay small. A budget of so many binds nobody: gateways that never
-/// heard of it keep it too.
+/// Maximum number of connections of one server, so that sums of connections do not overflow. A budget of this size
+/// limits nothing in practice, so gateways that do not know of it comply with it too.
 pub const MAX_CONNECTIONS_PER_SERVER: u32 = 1_000_000;
-/// Durations of a budget at most, milliseconds: a day.
+/// Longest duration that a budget may set, milliseconds: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
-/// All figures of a policy that are out of range.
+/// All problems that follow from the policy alone.
 pub(crate) fn limit_errors(policy: &Policy) -> Vec<PolicyError> {
     let mut errors = vec![];
     let counts =
@@ -26,10 +27,10 @@
     for (name, condition) in &policy.conditions {
         condition_errors(name, condition, &mut errors);
     }
-    let mut seen = BTreeMap::new();
+    let mut indices_by_name = BTreeMap::new();
     for (index, rule) in policy.rules.iter().enumerate() {
-        if let Some(first) = seen.insert(&rule.name, index) {
-            let reason = PolicyProblem::DuplicateRuleName { name: rule.name.clone(), first };
+        if let Some(previous) = indices_by_name.insert(&rule.name, index) {
+            let reason = PolicyProblem::DuplicateRuleName { name: rule.name.clone(), previous };
             errors.push(PolicyError::new(format!("rules[{index}].name"), reason));
         }
         rule_errors(index, rule, &mut errors);
--- a/crates/connection-budget/src/verification/mod.rs
+++ b/crates/connection-budget/src/verification/mod.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a policy: each finding has the path of the setting and a typed reason.
+//! The verification of a policy: each problem found has the path of the setting and a typed reason.
 
 mod error;
 mod limits;
--- a/crates/connection-budget/src/verification/names.rs
+++ b/crates/connection-budget/src/verification/names.rs
@@ -1,15 +1,15 @@
-//! Names that stand for nothing, and budgets without servers.
+//! Verifies that the names in a policy exist, and that each budget has servers and a zone of its own.
 
 use super::{NameKind, PolicyError, PolicyProblem};
 use crate::compiled_policy::Inventory;
 use crate::policy::{Condition, Policy, Rule};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn unknown(path: String, kind: NameKind, name: &str) -> PolicyError {
+fn unknown_name(path: String, kind: NameKind, name: &str) -> PolicyError {
     PolicyError::new(path, PolicyProblem::UnknownName { kind, name: name.to_owned() })
 }
 
-/// All names of a policy that the inventory and the policy itself do not have.
+/// All names in a policy that neither the inventory nor the policy itself defines.
 pub(crate) fn name_errors(policy: &Policy, inventory: &Inventory) -> Vec<PolicyError> {
     let mut errors = vec![];
     let zones: BTreeSet<&String> = inventory.servers.values().collect();
@@ -17,17 +17,17 @@
         selector_errors(index, rule, inventory, &mut errors);
         for name in rule.when.iter().map(|name| name.strip_prefix('!').unwrap_or(name)) {
             if !policy.conditions.contains_key(name) {
-                errors.push(unknown(format!("rules[{index}].when"), NameKind::Condition, name));
+                errors.push(unknown_name(format!("rules[{index}].when"), NameKind::Condition, name));
             }
         }
     }
     for (name, condition) in &policy.conditions {
         match condition {
             Condition::ZoneUnavailable { zone, .. } if !zones.contains(zone) => {
-                errors.push(unknown(format!("conditions.{name}.zone_dark.zone"), NameKind::Zone, zone));
+                errors.push(unknown_name(format!("conditions.{name}.zone_dark.zone"), NameKind::Zone, zone));
             }
             Condition::UsageAbove { budget, .. } if !policy.budgets.contains_key(budget) => {
-                errors.push(unknown(format!("conditions.{name}.use_over.budget"), NameKind::Budget, budget));
+                errors.push(unknown_name(format!("conditions.{name}.use_over.budget"), NameKind::Budget, budget));
             }
             _ => {}
         }
@@ -49,12 +49,12 @@
     ];
     for (field, kind, names, known) in lists {
         for name in names.iter().filter(|name| !known.contains(name)) {
-            errors.push(unknown(format!("rules[{index}].select.{field}"), kind, name));
+            errors.push(unknown_name(format!("rules[{index}].select.{field}"), kind, name));
         }
     }
 }
 
-/// Budgets that are for the zone of another, or for no server.
+/// Budgets that have the same zone as another one, and budgets without servers.
 pub(crate) fn group_errors(policy: &Policy, servers: &BTreeMap<String, Vec<String>>) -> Vec<PolicyError> {
     let mut errors = vec![];
     let mut by_zone: BTreeMap<Option<&String>, &String> = BTreeMap::new();
--- a/crates/connection-budget/src/verification/reachability.rs
+++ b/crates/connection-budget/src/verification/reachability.rs
@@ -1,11 +1,12 @@
-//! Rules that never have an effect.
+//! Verifies that each rule has an effect for some tenant class under some combination of conditions.
 
 use super::{PolicyError, PolicyProblem};
 use crate::compiled_policy::CompiledPolicy;
 use crate::rule_guard::condition_combinations;
 use std::collections::BTreeSet;
 
-/// Rules that apply to nobody, that never hold, or of which later rules leave nothing.
+/// Rules that select no tenant class, whose conditions are never met together, or whose terms later rules always
+/// override.
 pub(crate) fn unused_rule_errors(compiled: &CompiledPolicy) -> Vec<PolicyError> {
     let combinations = condition_combinations(compiled.policy());
     let mut used: BTreeSet<usize> = BTreeSet::new();
--- a/crates/connection-budget/src/verification/terms.rs
+++ b/crates/connection-budget/src/verification/terms.rs
@@ -1,4 +1,5 @@
-//! Floors within ceilings and budgets, for every combination of conditions.
+//! Verifies the terms for every combination of conditions: that floors are within ceilings and budgets, that loans and
+//! fallback permits are within floors, and that loans can be recalled in time.
 
 use super::{PolicyError, PolicyProblem};
 use crate::compiled_policy::CompiledPolicy;
@@ -8,8 +9,8 @@
 use crate::terms::Terms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rules named where floors do not fit: the two that add most.
-const RULES_NAMED: usize = 2;
+/// Number of rules that a message names when the floors exceed a budget: those with the largest sums of floors.
+const MAX_RULES_NAMED: usize = 2;
 
 /// All terms that cannot be kept under some combination of conditions.
 pub(crate) fn term_errors(compiled: &CompiledPolicy) -> Vec<PolicyError> {
@@ -32,16 +33,17 @@
 
 fn describe_conditions(active: &BTreeSet<String>) -> String {
     if active.is_empty() {
-        return "when no condition holds".to_owned();
+        return "when no condition is active".to_owned();
     }
-    format!("when {} hold", active.iter().cloned().collect::<Vec<_>>().join(", "))
+    format!("when the active conditions are {}", active.iter().cloned().collect::<Vec<_>>().join(", "))
 }
 
+/// Path of a term in the rule that sets it, or that of all rules if none does.
 fn path(rule: Option<usize>, field: &str) -> String {
     rule.map_or_else(|| "rules".to_owned(), |index| format!("rules[{index}].set.{field}"))
 }
 
-/// One budget under one combination of conditions.
+/// A budget under one combination of conditions; `when` describes the combination.
 struct Case<'a> {
     policy: &'a Policy,
     budget: &'a str,
@@ -49,6 +51,7 @@
 }
 
 impl Case<'_> {
+    /// Index and name of a rule, for messages.
     fn describe_rule(&self, rule: Option<usize>) -> String {
         rule.and_then(|index| Some(format!("rules[{index}] '{}'", self.policy.rules.get(index)?.name)))
             .unwrap_or_else(|| "no rule".to_owned())
@@ -79,7 +82,7 @@
 
     fn recall_too_fast(&self, terms: &Terms) -> Option<PolicyError> {
         let budget = &self.policy.budgets[self.budget];
-        // Recalled at the next round, a permit is back once the request that uses it is over.
+        // A permit is recalled in the next round, and free again once the request that uses it is over.
         let soonest_ms = budget.rotation_ms + budget.attempt_ms;
         let loan = terms.loan.filter(|loan| loan.recall_ms < soonest_ms)?;
         let reason = PolicyProblem::RecallTooFast {
@@ -104,7 +107,7 @@
         Some(PolicyError::new(path(terms.sources.ceiling, "ceiling"), reason))
     }
 
-    /// Names the rules whose floors add most to what does not fit.
+    /// The problem's path is that of the later of the named rules.
     fn floors_above_budget(&self, terms: &[(&TenantClass, Terms)], connections: u64) -> Option<PolicyError> {
         let sum = terms.iter().map(|(_, terms)| u64::from(terms.floor)).sum::<u64>();
         if sum <= connections {
@@ -116,11 +119,11 @@
                 *by_rule.entry(rule).or_default() += u64::from(terms.floor);
             }
         }
-        let mut largest: Vec<(u64, usize)> = by_rule.into_iter().map(|(rule, added)| (added, rule)).collect();
+        let mut largest: Vec<(u64, usize)> = by_rule.into_iter().map(|(rule, floors)| (floors, rule)).collect();
         largest.sort_by(|a, b| b.cmp(a));
-        largest.truncate(RULES_NAMED);
+        largest.truncate(MAX_RULES_NAMED);
         let described: Vec<String> = (largest.iter())
-            .map(|(added, rule)| format!("{} ({added})", self.describe_rule(Some(*rule))))
+            .map(|(floors, rule)| format!("{} ({floors})", self.describe_rule(Some(*rule))))
             .collect();
         let last = largest.iter().map(|(_, rule)| *rule).max();
         let reason = PolicyProblem::FloorsAboveBudget {
