--- a/crates/connection-budget/tests/planner.rs
+++ b/crates/connection-budget/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Moves: few, and towards what is wanted.
+//! Planned changes of the ledger: as few as possible, and towards what is wanted.
 
 use frostgauge_connection_budget::{
     plan, BudgetScope, Epoch, GatewayId, LedgerChange, LedgerError, PermitCounts, PermitLedger, PermitTarget,
@@ -6,190 +6,200 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn s(k: u32) -> BudgetScope {
-    BudgetScope::server(&format!("s{k}"))
+fn server(index: u32) -> BudgetScope {
+    BudgetScope::server(&format!("s{index}"))
 }
 
-fn ledger(servers: u32, each: u32, gateways: u16) -> (PermitLedger, Vec<BudgetScope>) {
+/// A ledger with `servers` servers of `capacity` connections each, and its scopes. Each gateway has a current process
+/// whose incarnation is the gateway's number.
+fn ledger(servers: u32, capacity: u32, gateways: u16) -> (PermitLedger, Vec<BudgetScope>) {
     let mut ledger = PermitLedger::default();
-    let names: Vec<BudgetScope> = (0..servers).map(s).collect();
-    names.iter().for_each(|n| ledger.set_capacity(n, each));
-    (1..=gateways).for_each(|g| ledger.begin_incarnation(g, u64::from(g)));
-    (ledger, names)
+    let scopes: Vec<BudgetScope> = (0..servers).map(server).collect();
+    scopes.iter().for_each(|scope| ledger.set_capacity(scope, capacity));
+    (1..=gateways).for_each(|gateway| ledger.begin_incarnation(gateway, u64::from(gateway)));
+    (ledger, scopes)
 }
 
-fn want(all: &[(GatewayId, u32)]) -> BTreeMap<GatewayId, PermitTarget> {
-    all.iter().map(|(g, n)| (*g, PermitTarget { count: *n, ..PermitTarget::default() })).collect()
+/// Targets with these numbers of permits by gateway, without fallback.
+fn targets(counts: &[(GatewayId, u32)]) -> BTreeMap<GatewayId, PermitTarget> {
+    let target = |count: u32| PermitTarget { count, ..PermitTarget::default() };
+    counts.iter().map(|(gateway, count)| (*gateway, target(*count))).collect()
 }
 
-fn carry_out(ledger: &mut PermitLedger, moves: &[LedgerChange]) {
-    moves.iter().for_each(|m| m.apply(ledger).expect("a plan fits"));
+fn apply_all(ledger: &mut PermitLedger, changes: &[LedgerChange]) {
+    changes.iter().for_each(|change| change.apply(ledger).expect("the ledger should accept planned changes"));
 }
 
-fn bring_about(ledger: &mut PermitLedger, names: &[BudgetScope], wanted: &BTreeMap<GatewayId, PermitTarget>) {
-    let moves = plan(ledger, names, wanted, 100);
-    carry_out(ledger, &moves);
+fn plan_and_apply(
+    ledger: &mut PermitLedger,
+    scopes: &[BudgetScope],
+    wanted: &BTreeMap<GatewayId, PermitTarget>,
+) {
+    let changes = plan(ledger, scopes, wanted, 100);
+    apply_all(ledger, &changes);
 }
 
-fn has(ledger: &PermitLedger, names: &[BudgetScope], gateway: GatewayId) -> u32 {
-    names.iter().map(|n| ledger.permits(n, gateway).target).sum()
+/// Sum of a gateway's targets over the scopes.
+fn target_sum(ledger: &PermitLedger, scopes: &[BudgetScope], gateway: GatewayId) -> u32 {
+    scopes.iter().map(|scope| ledger.permits(scope, gateway).target).sum()
 }
 
 #[test]
-fn what_is_free_is_given_over_the_servers_and_then_nothing_moves() {
-    let (mut l, names) = ledger(3, 4, 3);
-    let wanted = want(&[(1, 6), (2, 3), (3, 3)]);
-    bring_about(&mut l, &names, &wanted);
-    assert_eq!([1, 2, 3].map(|g| has(&l, &names, g)), [6, 3, 3]);
-    assert!(names.iter().all(|n| l.permits(n, 1).target == 2), "spread over the servers");
-    assert_eq!(plan(&l, &names, &wanted, 100), vec![], "at rest nothing changes");
-    // Who wants less keeps it while nobody lacks any.
-    assert_eq!(plan(&l, &names, &want(&[(1, 2), (2, 3), (3, 3)]), 100), vec![]);
+fn grants_are_spread_over_servers_and_then_stay() {
+    let (mut ledger, scopes) = ledger(3, 4, 3);
+    let wanted = targets(&[(1, 6), (2, 3), (3, 3)]);
+    plan_and_apply(&mut ledger, &scopes, &wanted);
+    assert_eq!([1, 2, 3].map(|gateway| target_sum(&ledger, &scopes, gateway)), [6, 3, 3]);
+    assert!(scopes.iter().all(|scope| ledger.permits(scope, 1).target == 2), "gateway 1 has two at each server");
+    assert_eq!(plan(&ledger, &scopes, &wanted, 100), vec![], "nothing changes once all have what they want");
+    // A gateway that wants less keeps its permits while no other lacks any.
+    assert_eq!(plan(&ledger, &scopes, &targets(&[(1, 2), (2, 3), (3, 3)]), 100), vec![]);
 }
 
 #[test]
-fn only_as_many_are_called_back_as_others_lack_and_what_comes_back_goes_on() {
-    let (mut l, names) = ledger(1, 10, 2);
-    bring_about(&mut l, &names, &want(&[(1, 10)]));
-    let wanted = want(&[(1, 2), (2, 3)]);
-    let moves = plan(&l, &names, &wanted, 100);
-    let call = LedgerChange::Recall { scope: s(0), gateway: 1, target: 7 };
-    assert_eq!(moves, [call]);
-    carry_out(&mut l, &moves);
-    assert_eq!(plan(&l, &names, &wanted, 100), vec![], "it is on its way back: no more is called");
-    // Its word frees them, once it knows of the call.
-    let epoch = l.epoch(1);
-    l.acknowledge(1, 1, epoch - 1, &s(0), 0);
-    assert_eq!(l.available(&s(0)), 0, "a word from before does not");
-    l.acknowledge(1, 1, epoch, &s(0), 8);
+fn only_lacking_permits_are_recalled_and_then_granted() {
+    let (mut ledger, scopes) = ledger(1, 10, 2);
+    plan_and_apply(&mut ledger, &scopes, &targets(&[(1, 10)]));
+    let wanted = targets(&[(1, 2), (2, 3)]);
+    let changes = plan(&ledger, &scopes, &wanted, 100);
+    let recall = LedgerChange::Recall { scope: server(0), gateway: 1, target: 7 };
+    assert_eq!(changes, [recall]);
+    apply_all(&mut ledger, &changes);
+    assert_eq!(plan(&ledger, &scopes, &wanted, 100), vec![], "permits already being recalled are enough");
+    // The gateway's acknowledgement frees them, once it knows of the recall.
+    let epoch = ledger.epoch(1);
+    ledger.acknowledge(1, 1, epoch - 1, &server(0), 0);
+    assert_eq!(ledger.available(&server(0)), 0, "an acknowledgement from before the recall frees nothing");
+    ledger.acknowledge(1, 1, epoch, &server(0), 8);
     assert_eq!(
-        (l.available(&s(0)), l.permits(&s(0), 1)),
+        (ledger.available(&server(0)), ledger.permits(&server(0), 1)),
         (2, PermitCounts { held: 8, target: 7, fallback: 0 })
     );
-    l.acknowledge(1, 1, epoch + 1, &s(0), 5);
-    bring_about(&mut l, &names, &wanted);
-    assert_eq!((has(&l, &names, 1), has(&l, &names, 2)), (7, 3));
+    ledger.acknowledge(1, 1, epoch + 1, &server(0), 5);
+    plan_and_apply(&mut ledger, &scopes, &wanted);
+    assert_eq!((target_sum(&ledger, &scopes, 1), target_sum(&ledger, &scopes, 2)), (7, 3));
 }
 
 #[test]
-fn a_budget_halved_while_full_gives_nothing_until_enough_is_back() {
-    let (mut l, names) = ledger(1, 8, 2);
-    let wanted = want(&[(1, 4), (2, 4)]);
-    bring_about(&mut l, &names, &wanted);
-    l.set_capacity(&s(0), 4);
-    assert_eq!((l.available(&s(0)), l.held(&s(0))), (0, 8));
-    let wanted = want(&[(1, 2), (2, 2)]);
-    bring_about(&mut l, &names, &wanted);
-    assert_eq!([1, 2].map(|g| has(&l, &names, g)), [2, 2]);
-    assert_eq!(l.grant(&s(0), 1, 1, 0), Err(LedgerError::Exhausted));
-    for g in [1, 2] {
-        let epoch = l.epoch(g);
-        l.acknowledge(g, u64::from(g), epoch, &s(0), 1);
+fn halved_capacity_grants_nothing_until_recalls_complete() {
+    let (mut ledger, scopes) = ledger(1, 8, 2);
+    let wanted = targets(&[(1, 4), (2, 4)]);
+    plan_and_apply(&mut ledger, &scopes, &wanted);
+    ledger.set_capacity(&server(0), 4);
+    assert_eq!((ledger.available(&server(0)), ledger.held(&server(0))), (0, 8));
+    let wanted = targets(&[(1, 2), (2, 2)]);
+    plan_and_apply(&mut ledger, &scopes, &wanted);
+    assert_eq!([1, 2].map(|gateway| target_sum(&ledger, &scopes, gateway)), [2, 2]);
+    assert_eq!(ledger.grant(&server(0), 1, 1, 0), Err(LedgerError::Exhausted));
+    for gateway in [1, 2] {
+        let epoch = ledger.epoch(gateway);
+        ledger.acknowledge(gateway, u64::from(gateway), epoch, &server(0), 1);
     }
-    assert_eq!((l.held(&s(0)), l.available(&s(0))), (4, 0));
+    assert_eq!((ledger.held(&server(0)), ledger.available(&server(0))), (4, 0));
 }
 
 #[test]
-fn a_gateway_that_is_gone_keeps_its_ground_until_its_end_is_shown() {
-    let (mut l, names) = ledger(1, 4, 2);
+fn fallback_permits_stay_held_until_the_process_has_ended() {
+    let (mut ledger, scopes) = ledger(1, 4, 2);
     let wanted = [(1, PermitTarget { count: 4, fallback: 1, ..PermitTarget::default() })].into();
-    bring_about(&mut l, &names, &wanted);
-    l.expire_lease(1);
-    assert_eq!((l.held(&s(0)), l.available(&s(0))), (1, 3));
-    // A new process has what is free; what the one before may still use is not that.
-    l.begin_incarnation(1, 77);
-    assert_eq!(l.granted(1, 77).map(|t| t.1), Some(vec![]));
-    assert_eq!((l.granted(1, 1), l.earlier_incarnations_hold(1)), (None, (false, true)));
-    l.expire_earlier_leases(1);
-    assert_eq!(l.available(&s(0)), 3);
-    assert_eq!(l.grant(&s(0), 1, 3, 1), Ok(()));
-    assert_eq!(l.grant(&s(0), 1, 1, 0), Err(LedgerError::Exhausted));
-    l.earlier_processes_ended(1);
-    assert_eq!(l.available(&s(0)), 1);
-    assert_eq!(l.granted(1, 77).map(|t| t.1.len()), Some(1));
-    assert_eq!(l.grant(&s(9), 1, 1, 0), Err(LedgerError::UnknownScope));
-    assert_eq!(l.grant(&s(0), 9, 1, 0), Err(LedgerError::NoProcess));
+    plan_and_apply(&mut ledger, &scopes, &wanted);
+    ledger.expire_lease(1);
+    assert_eq!((ledger.held(&server(0)), ledger.available(&server(0))), (1, 3));
+    // A new process is granted free permits, but not those that the earlier process may still be using.
+    ledger.begin_incarnation(1, 77);
+    assert_eq!(ledger.granted(1, 77).map(|(_, permits)| permits), Some(vec![]));
+    assert_eq!((ledger.granted(1, 1), ledger.earlier_incarnations_hold(1)), (None, (false, true)));
+    ledger.expire_earlier_leases(1);
+    assert_eq!(ledger.available(&server(0)), 3);
+    assert_eq!(ledger.grant(&server(0), 1, 3, 1), Ok(()));
+    assert_eq!(ledger.grant(&server(0), 1, 1, 0), Err(LedgerError::Exhausted));
+    ledger.earlier_processes_ended(1);
+    assert_eq!(ledger.available(&server(0)), 1);
+    assert_eq!(ledger.granted(1, 77).map(|(_, permits)| permits.len()), Some(1));
+    assert_eq!(ledger.grant(&server(9), 1, 1, 0), Err(LedgerError::UnknownScope));
+    assert_eq!(ledger.grant(&server(0), 9, 1, 0), Err(LedgerError::NoProcess));
 }
 
 #[test]
-fn a_process_that_another_has_come_after_does_not_come_back() {
-    let (mut l, names) = ledger(1, 4, 1);
-    bring_about(&mut l, &names, &want(&[(1, 3)]));
-    l.begin_incarnation(1, 77);
+fn a_superseded_process_never_becomes_current_again() {
+    let (mut ledger, scopes) = ledger(1, 4, 1);
+    plan_and_apply(&mut ledger, &scopes, &targets(&[(1, 3)]));
+    ledger.begin_incarnation(1, 77);
     assert_eq!(
-        (l.held(&s(0)), l.earlier_incarnations_hold(1)),
+        (ledger.held(&server(0)), ledger.earlier_incarnations_hold(1)),
         (3, (true, false)),
-        "held for the one before"
+        "the earlier process still holds its permits"
     );
-    l.begin_incarnation(1, 1);
-    assert_eq!(l.incarnation(1), Some(77));
-    l.acknowledge(1, 1, Epoch::MAX, &s(0), 0);
-    assert_eq!(l.held(&s(0)), 3, "its words count no more");
-    l.expire_lease(1);
-    assert_eq!((l.held(&s(0)), l.earlier_incarnations_hold(1)), (0, (false, false)));
+    ledger.begin_incarnation(1, 1);
+    assert_eq!(ledger.incarnation(1), Some(77));
+    ledger.acknowledge(1, 1, Epoch::MAX, &server(0), 0);
+    assert_eq!(ledger.held(&server(0)), 3, "an acknowledgement of a superseded process frees nothing");
+    ledger.expire_lease(1);
+    assert_eq!((ledger.held(&server(0)), ledger.earlier_incarnations_hold(1)), (0, (false, false)));
 }
 
 #[test]
-fn a_holder_under_its_floor_is_served_before_those_with_less() {
-    let (mut l, names) = ledger(1, 4, 3);
-    bring_about(&mut l, &names, &want(&[(1, 2)]));
-    let first = |g: GatewayId, n, first| {
-        (g, PermitTarget { count: n, below_floor: first, ..PermitTarget::default() })
+fn a_gateway_below_its_floor_is_served_first() {
+    let (mut ledger, scopes) = ledger(1, 4, 3);
+    plan_and_apply(&mut ledger, &scopes, &targets(&[(1, 2)]));
+    let target = |gateway: GatewayId, count, below_floor| {
+        (gateway, PermitTarget { count, below_floor, ..PermitTarget::default() })
     };
-    let wanted = [first(1, 4, true), first(2, 2, false), first(3, 1, false)].into();
-    bring_about(&mut l, &names, &wanted);
-    assert_eq!([1, 2, 3].map(|g| has(&l, &names, g)), [4, 0, 0]);
+    let wanted = [target(1, 4, true), target(2, 2, false), target(3, 1, false)].into();
+    plan_and_apply(&mut ledger, &scopes, &wanted);
+    assert_eq!([1, 2, 3].map(|gateway| target_sum(&ledger, &scopes, gateway)), [4, 0, 0]);
 }
 
 #[test]
-fn what_is_forgotten_with_its_budget_is_told_as_nothing() {
-    let (mut l, names) = ledger(2, 2, 1);
-    bring_about(&mut l, &names, &want(&[(1, 4)]));
-    let before = l.epoch(1);
-    l.remove(&s(0));
-    assert!(l.epoch(1) > before && l.granted(1, 1).is_some_and(|t| t.1.len() == 1));
+fn a_removed_scope_disappears_from_the_next_grant() {
+    let (mut ledger, scopes) = ledger(2, 2, 1);
+    plan_and_apply(&mut ledger, &scopes, &targets(&[(1, 4)]));
+    let before = ledger.epoch(1);
+    ledger.remove(&server(0));
+    assert!(ledger.epoch(1) > before && ledger.granted(1, 1).is_some_and(|(_, permits)| permits.len() == 1));
 }
 
 #[test]
-fn a_server_that_closes_is_forgotten_once_all_is_back() {
-    let (mut l, names) = ledger(2, 2, 1);
-    bring_about(&mut l, &names, &want(&[(1, 4)]));
-    l.close(&s(0));
-    let (epoch, slots) = l.granted(1, 1).expect("its life");
-    assert_eq!(slots.iter().map(|(p, x)| (p.clone(), x.target)).collect::<Vec<_>>(), [(s(0), 0), (s(1), 2)]);
-    l.acknowledge(1, 1, epoch, &s(0), 0);
-    assert_eq!(l.scopes().map(|(p, _)| p.clone()).collect::<Vec<_>>(), [s(1)]);
+fn a_closed_scope_is_removed_once_no_permits_are_held() {
+    let (mut ledger, scopes) = ledger(2, 2, 1);
+    plan_and_apply(&mut ledger, &scopes, &targets(&[(1, 4)]));
+    ledger.close(&server(0));
+    let (epoch, permits) = ledger.granted(1, 1).expect("incarnation 1 should be current");
+    let by_scope: Vec<_> = permits.iter().map(|(scope, counts)| (scope.clone(), counts.target)).collect();
+    assert_eq!(by_scope, [(server(0), 0), (server(1), 2)]);
+    ledger.acknowledge(1, 1, epoch, &server(0), 0);
+    assert_eq!(ledger.scopes().map(|(scope, _)| scope.clone()).collect::<Vec<_>>(), [server(1)]);
 }
 
 proptest! {
     #[test]
-    fn whatever_is_wanted_a_plan_fits_and_reaches_it(
+    fn any_plan_fits_the_capacities_and_reaches_its_targets(
         rounds in proptest::collection::vec(proptest::collection::btree_map(1u16..8, 0u32..9, 0..7), 1..12),
-        servers in 1u32..5, each in 0u32..7,
+        servers in 1u32..5, capacity in 0u32..7,
     ) {
-        let (mut l, names) = ledger(servers, each, 8);
+        let (mut ledger, scopes) = ledger(servers, capacity, 8);
         for wanted in rounds {
             let wanted: Vec<(GatewayId, u32)> = wanted.into_iter().collect();
-            let wanted = want(&wanted);
-            // All give back at once what is called back: after two rounds what fits is there.
+            let wanted = targets(&wanted);
+            // Every gateway acknowledges its recalls at once, so targets that fit are reached after two rounds.
             for _ in 0..2 {
-                let moves = plan(&l, &names, &wanted, 1_000);
-                carry_out(&mut l, &moves);
-                for g in 1..=8u16 {
-                    for name in &names {
-                        let epoch = l.epoch(g);
-                        l.acknowledge(g, u64::from(g), epoch, name, 0);
+                let changes = plan(&ledger, &scopes, &wanted, 1_000);
+                apply_all(&mut ledger, &changes);
+                for gateway in 1..=8u16 {
+                    for scope in &scopes {
+                        let epoch = ledger.epoch(gateway);
+                        ledger.acknowledge(gateway, u64::from(gateway), epoch, scope, 0);
                     }
                 }
-                prop_assert!(names.iter().all(|n| l.held(n) <= u64::from(each)));
+                prop_assert!(scopes.iter().all(|scope| ledger.held(scope) <= u64::from(capacity)));
             }
-            let sum: u32 = wanted.values().map(|w| w.count).sum();
-            if sum <= servers * each {
-                for (o, w) in &wanted {
-                    prop_assert!(has(&l, &names, *o) >= w.count);
+            let sum: u32 = wanted.values().map(|target| target.count).sum();
+            if sum <= servers * capacity {
+                for (gateway, target) in &wanted {
+                    prop_assert!(target_sum(&ledger, &scopes, *gateway) >= target.count);
                 }
             }
-            prop_assert_eq!(plan(&l, &names, &wanted, 1_000), vec![]);
+            prop_assert_eq!(plan(&ledger, &scopes, &wanted, 1_000), vec![]);
         }
     }
 }
