--- a/crates/connection-budget/tests/allocator.rs
+++ b/crates/connection-budget/tests/allocator.rs
@@ -1,5 +1,5 @@
-//! Allocation over many rounds, with gateways that acknowledge every recall within the round: how close the shares come to
-//! exact ones that the test computes itself and how soon, and that nothing changes once demand is met.
+//! Allocation over many rounds, with gateways that acknowledge every recall within the round: how close the shares come
+//! to exact ones that the test computes itself and how soon, and that nothing changes once demand is met.
 
 use frostgauge_connection_budget::{
     AllocationInput, Allocator, BudgetScope, CompiledPolicy, Demand, DemandByGroup, GatewayId, GroupDemand,
@@ -195,7 +195,8 @@
             longest = longest.max(round - *last);
         }
     }
-    // Each gateway's share is a fifth of a connection, in turns of six rounds; a recalled permit is granted a round later.
+    // Each gateway's share is a fifth of a connection, in turns of six rounds; a recalled permit is granted a round
+    // later.
     assert!(
         longest <= frostgauge_connection_budget::FairRotation::<GatewayId>::longest_wait_rounds(200, 6) + 2,
         "a gateway waited {longest} rounds"
--- a/crates/connection-budget/tests/max_min.rs
+++ b/crates/connection-budget/tests/max_min.rs
@@ -1,183 +1,215 @@
-//! Shares against the exact weighted max-min, computed apart; turns.
+//! Weighted max-min shares, compared with exact ones that the test computes itself, and the rotation of whole connections.
 
 use frostgauge_connection_budget::{max_min_shares, Claim, FairRotation, Loan, Terms};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn claim(floor: u32, weight: u32, ceiling: Option<u32>, wants: u64) -> Claim {
-    Claim { terms: Terms { floor, weight, ceiling, ..Terms::default() }, demand_milli: wants * 1_000 }
+/// A claim with a demand in whole connections.
+fn claim(floor: u32, weight: u32, ceiling: Option<u32>, demand: u64) -> Claim {
+    Claim { terms: Terms { floor, weight, ceiling, ..Terms::default() }, demand_milli: demand * 1_000 }
 }
 
-fn lends(mut claim: Claim, up_to: u32) -> Claim {
-    claim.terms.loan = Some(Loan { max_connections: up_to, recall_ms: 100 });
+/// The claim with a loan of up to `max_connections` of its floor.
+fn with_loan(mut claim: Claim, max_connections: u32) -> Claim {
+    claim.terms.loan = Some(Loan { max_connections, recall_ms: 100 });
     claim
 }
 
-fn milli(connections: u64, claims: &[Claim]) -> Vec<u64> {
-    max_min_shares(connections, claims).iter().map(|s| s.connections_milli).collect()
+/// The shares in thousandths of a connection.
+fn shares_milli(connections: u64, claims: &[Claim]) -> Vec<u64> {
+    max_min_shares(connections, claims).iter().map(|share| share.connections_milli).collect()
 }
 
 #[test]
-fn what_is_wanted_is_had_while_there_is_enough_and_the_rest_goes_by_weight() {
-    assert_eq!(milli(10, &[claim(0, 1, None, 3), claim(0, 1, None, 4)]), [3_000, 4_000]);
-    assert_eq!(milli(10, &[claim(0, 1, None, 9), claim(0, 1, None, 9)]), [5_000, 5_000]);
-    assert_eq!(milli(12, &[claim(0, 1, None, 99), claim(0, 2, None, 99)]), [4_000, 8_000]);
-    // Who wants little leaves the rest to the others.
+fn demand_is_met_or_connections_are_divided_by_weight() {
+    assert_eq!(shares_milli(10, &[claim(0, 1, None, 3), claim(0, 1, None, 4)]), [3_000, 4_000]);
+    assert_eq!(shares_milli(10, &[claim(0, 1, None, 9), claim(0, 1, None, 9)]), [5_000, 5_000]);
+    assert_eq!(shares_milli(12, &[claim(0, 1, None, 99), claim(0, 2, None, 99)]), [4_000, 8_000]);
+    // What a claim with little demand leaves is divided among the others.
     assert_eq!(
-        milli(12, &[claim(0, 1, None, 2), claim(0, 1, None, 99), claim(0, 1, None, 99)]),
+        shares_milli(12, &[claim(0, 1, None, 2), claim(0, 1, None, 99), claim(0, 1, None, 99)]),
         [2_000, 5_000, 5_000]
     );
-    // Floors and ceilings bend the level for who they bind, and for nobody else.
-    assert_eq!(milli(10, &[claim(6, 1, None, 99), claim(0, 1, None, 99)]), [6_000, 4_000]);
-    assert_eq!(milli(10, &[claim(0, 9, Some(3), 99), claim(0, 1, None, 99)]), [3_000, 7_000]);
+    // A floor raises the share of its own claim, and a ceiling limits it; the others divide the rest.
+    assert_eq!(shares_milli(10, &[claim(6, 1, None, 99), claim(0, 1, None, 99)]), [6_000, 4_000]);
+    assert_eq!(shares_milli(10, &[claim(0, 9, Some(3), 99), claim(0, 1, None, 99)]), [3_000, 7_000]);
     assert_eq!(
-        milli(10, &[claim(0, 0, None, 99), claim(0, 1, None, 4)]),
+        shares_milli(10, &[claim(0, 0, None, 99), claim(0, 1, None, 4)]),
         [0, 4_000],
-        "weight 0: floors alone"
+        "a claim of weight 0 gets its floor only"
     );
 }
 
 #[test]
-fn thirty_connections_for_forty_tenants_are_three_quarters_each() {
-    let shares = milli(30, &[claim(0, 1, None, 5); 40]);
+fn thirty_connections_are_three_quarters_for_forty_tenants() {
+    let shares = shares_milli(30, &[claim(0, 1, None, 5); 40]);
     assert_eq!(shares, [750; 40]);
 }
 
 #[test]
-fn a_floor_that_is_not_wanted_is_kept_free_or_lent_and_there_at_once_when_wanted() {
-    let idle = claim(6, 1, None, 1);
-    assert_eq!(milli(10, &[idle, claim(0, 1, None, 99)]), [1_000, 4_000], "kept free");
-    let lender = lends(idle, 3);
+fn unused_floors_stay_free_or_are_lent_until_demanded() {
+    let little_demand = claim(6, 1, None, 1);
+    assert_eq!(
+        shares_milli(10, &[little_demand, claim(0, 1, None, 99)]),
+        [1_000, 4_000],
+        "an unused floor without a loan stays free"
+    );
+    let lender = with_loan(little_demand, 3);
     let shares = max_min_shares(10, &[lender, claim(0, 1, None, 99)]);
-    assert_eq!((shares[0].connections_milli, shares[0].lent_milli, shares[1].connections_milli), (1_000, 3_000, 7_000));
-    let back = Claim { demand_milli: 99_000, ..lender };
-    assert_eq!(milli(10, &[back, claim(0, 1, None, 99)]), [6_000, 4_000]);
-    // Everyone lends, and all ask back.
-    let all = [lends(claim(5, 1, None, 99), 5); 2];
-    assert_eq!(milli(10, &all), [5_000, 5_000]);
+    assert_eq!(
+        (shares[0].connections_milli, shares[0].lent_milli, shares[1].connections_milli),
+        (1_000, 3_000, 7_000)
+    );
+    let full_demand = Claim { demand_milli: 99_000, ..lender };
+    assert_eq!(shares_milli(10, &[full_demand, claim(0, 1, None, 99)]), [6_000, 4_000]);
+    // Both claims may lend their floors, and both demand them.
+    let lenders = [with_loan(claim(5, 1, None, 99), 5); 2];
+    assert_eq!(shares_milli(10, &lenders), [5_000, 5_000]);
 }
 
 #[test]
-fn when_servers_are_fewer_than_floors_need_higher_orders_give_up_first() {
-    let order = |mut c: Claim, give_up| {
-        c.terms.shed_order = give_up;
-        c
+fn floors_above_the_capacity_are_reduced_by_shed_order() {
+    let with_order = |mut claim: Claim, shed_order| {
+        claim.terms.shed_order = shed_order;
+        claim
     };
-    let claims =
-        [order(claim(4, 1, None, 9), 0), order(claim(4, 1, None, 9), 2), order(claim(4, 1, None, 9), 1)];
-    assert_eq!(milli(12, &claims), [4_000, 4_000, 4_000]);
-    assert_eq!(milli(8, &claims), [4_000, 0, 4_000]);
-    assert_eq!(milli(6, &claims), [4_000, 0, 2_000]);
-    assert_eq!(milli(0, &claims), [0, 0, 0]);
+    let claims = [
+        with_order(claim(4, 1, None, 9), 0),
+        with_order(claim(4, 1, None, 9), 2),
+        with_order(claim(4, 1, None, 9), 1),
+    ];
+    assert_eq!(shares_milli(12, &claims), [4_000, 4_000, 4_000]);
+    assert_eq!(shares_milli(8, &claims), [4_000, 0, 4_000]);
+    assert_eq!(shares_milli(6, &claims), [4_000, 0, 2_000]);
+    assert_eq!(shares_milli(0, &claims), [0, 0, 0]);
 }
 
-/// The exact shares by progressive filling: raise all levels together, freeze who reaches its end.
-fn exact(connections: f64, claims: &[Claim]) -> Vec<f64> {
-    let most = |c: &Claim| {
-        c.terms.ceiling.map_or(c.demand_milli as f64 / 1e3, |x| (x as f64).min(c.demand_milli as f64 / 1e3))
-    };
-    let own = |c: &Claim| (c.terms.floor as f64).min(most(c));
-    let kept: f64 = claims
+/// The exact shares in connections: the level at which they add up to the connections that are not reserved, found by
+/// bisection in floating point.
+fn exact_shares(connections: f64, claims: &[Claim]) -> Vec<f64> {
+    let demand = |claim: &Claim| claim.demand_milli as f64 / 1e3;
+    let usable =
+        |claim: &Claim| claim.terms.ceiling.map_or(demand(claim), |ceiling| (ceiling as f64).min(demand(claim)));
+    let wanted_floor = |claim: &Claim| (claim.terms.floor as f64).min(usable(claim));
+    let reserved: f64 = claims
         .iter()
-        .map(|c| {
-            let idle = c.terms.floor as f64 - own(c);
-            idle - idle.min(c.terms.loan.map_or(0.0, |l| l.max_connections as f64))
+        .map(|claim| {
+            let unused = claim.terms.floor as f64 - wanted_floor(claim);
+            unused - unused.min(claim.terms.loan.map_or(0.0, |loan| loan.max_connections as f64))
         })
         .sum();
-    let open = connections - kept;
-    let level_of = |level: f64| -> Vec<f64> {
-        claims.iter().map(|c| (level * c.terms.weight as f64).clamp(own(c), most(c).max(own(c)))).collect()
+    let available = connections - reserved;
+    let shares_at = |level: f64| -> Vec<f64> {
+        let share_at = |claim: &Claim| {
+            let (min, max) = (wanted_floor(claim), usable(claim).max(wanted_floor(claim)));
+            (level * claim.terms.weight as f64).clamp(min, max)
+        };
+        claims.iter().map(share_at).collect()
     };
     let (mut low, mut high) = (0.0, connections + 1.0);
     for _ in 0..200 {
         let middle = (low + high) / 2.0;
-        if level_of(middle).iter().sum::<f64>() <= open {
+        if shares_at(middle).iter().sum::<f64>() <= available {
             low = middle;
         } else {
             high = middle;
         }
     }
-    level_of(low)
+    shares_at(low)
 }
 
-fn claims() -> impl Strategy<Value = (u64, Vec<Claim>)> {
-    let one = (0u32..20, 0u32..10, proptest::option::of(0u32..60), 0u64..80, 0u32..20);
-    let one = one.prop_map(|(floor, weight, ceiling, wants, lend)| {
-        lends(claim(floor, weight, ceiling.map(|c| c.max(floor)), wants), lend)
+/// A number of connections that covers all floors, and the claims.
+fn connections_and_claims() -> impl Strategy<Value = (u64, Vec<Claim>)> {
+    let one_claim = (0u32..20, 0u32..10, proptest::option::of(0u32..60), 0u64..80, 0u32..20);
+    let one_claim = one_claim.prop_map(|(floor, weight, ceiling, demand, max_lent)| {
+        with_loan(claim(floor, weight, ceiling.map(|ceiling| ceiling.max(floor)), demand), max_lent)
     });
-    proptest::collection::vec(one, 1..60).prop_flat_map(|all| {
-        let floors: u64 = all.iter().map(|c| u64::from(c.terms.floor)).sum();
-        (floors..floors + 400, Just(all))
+    proptest::collection::vec(one_claim, 1..60).prop_flat_map(|claims| {
+        let floors: u64 = claims.iter().map(|claim| u64::from(claim.terms.floor)).sum();
+        (floors..floors + 400, Just(claims))
     })
 }
 
 proptest! {
     #[test]
-    fn shares_are_the_exact_weighted_max_min_to_a_thousandth_or_two((connections, claims) in claims()) {
+    fn shares_are_exact_to_three_thousandths((connections, claims) in connections_and_claims()) {
         let shares = max_min_shares(connections, &claims);
-        let sum: u64 = shares.iter().map(|s| s.connections_milli).sum();
+        let sum: u64 = shares.iter().map(|share| share.connections_milli).sum();
         prop_assert!(sum <= connections * 1_000);
-        for (k, (got, want)) in shares.iter().zip(exact(connections as f64, &claims)).enumerate() {
-            prop_assert!((got.connections_milli as f64 / 1e3 - want).abs() <= 0.003, "{k}: {} against {want}", got.connections_milli);
+        for (index, (share, exact)) in shares.iter().zip(exact_shares(connections as f64, &claims)).enumerate() {
+            let milli = share.connections_milli;
+            prop_assert!(
+                (milli as f64 / 1e3 - exact).abs() <= 0.003,
+                "claim {index}: {milli} thousandths, but exactly {exact} connections"
+            );
         }
     }
 
     #[test]
-    fn floors_that_are_wanted_are_had_and_no_ceiling_is_passed((connections, claims) in claims()) {
-        for (share, c) in max_min_shares(connections, &claims).iter().zip(&claims) {
-            let most = c.terms.ceiling.map_or(c.demand_milli / 1_000, |x| (c.demand_milli / 1_000).min(u64::from(x)));
-            prop_assert!(share.connections_milli >= (u64::from(c.terms.floor) * 1_000).min(most * 1_000));
-            prop_assert!(share.connections_milli <= most * 1_000);
+    fn shares_reach_wanted_floors_and_keep_to_ceilings((connections, claims) in connections_and_claims()) {
+        for (share, claim) in max_min_shares(connections, &claims).iter().zip(&claims) {
+            let demand = claim.demand_milli / 1_000;
+            let usable = claim.terms.ceiling.map_or(demand, |ceiling| demand.min(u64::from(ceiling)));
+            prop_assert!(share.connections_milli >= (u64::from(claim.terms.floor) * 1_000).min(usable * 1_000));
+            prop_assert!(share.connections_milli <= usable * 1_000);
         }
     }
 
     #[test]
-    fn turns_give_each_its_part_and_nobody_waits_longer_than_is_stated(
+    fn rotation_gives_each_key_its_share_in_time(
         raw in proptest::collection::vec(1u64..1_500, 1..40), spare in 0u64..3, rounds in 100u64..400,
     ) {
-        let parts: BTreeMap<usize, u64> = raw.into_iter().enumerate().collect();
-        let sum: u64 = parts.values().sum();
-        let most = sum.div_ceil(1_000) + spare;
-        let (mut turns, mut got, mut last) = (FairRotation::default(), BTreeMap::<usize, u64>::new(), BTreeMap::<usize, u64>::new());
+        let shares: BTreeMap<usize, u64> = raw.into_iter().enumerate().collect();
+        let sum: u64 = shares.values().sum();
+        let max = sum.div_ceil(1_000) + spare;
+        let mut rotation = FairRotation::default();
+        let (mut totals, mut last_served) = (BTreeMap::<usize, u64>::new(), BTreeMap::<usize, u64>::new());
         for round in 1..=rounds {
-            let given = turns.next_round(&parts, most);
-            prop_assert!(given.values().sum::<u64>() <= most);
-            for (k, n) in given {
-                let wait = round - last.insert(k, round).unwrap_or(0);
-                prop_assert!(wait <= FairRotation::<usize>::longest_wait_rounds(parts[&k], 1), "{k} waited {wait} for {}", parts[&k]);
-                *got.entry(k).or_default() += n;
+            let allocated = rotation.next_round(&shares, max);
+            prop_assert!(allocated.values().sum::<u64>() <= max);
+            for (key, count) in allocated {
+                let (share, wait) = (shares[&key], round - last_served.insert(key, round).unwrap_or(0));
+                prop_assert!(
+                    wait <= FairRotation::<usize>::longest_wait_rounds(share, 1),
+                    "key {key} waited {wait} rounds with a share of {share} thousandths"
+                );
+                *totals.entry(key).or_default() += count;
             }
         }
-        for (k, part) in &parts {
-            let (got, want) = (got.get(k).copied().unwrap_or(0) * 1_000, part * rounds);
-            prop_assert!(got.abs_diff(want) <= 2_000, "{k}: {got} against {want}");
+        for (key, share) in &shares {
+            let (total, expected) = (totals.get(key).copied().unwrap_or(0) * 1_000, share * rounds);
+            prop_assert!(
+                total.abs_diff(expected) <= 2_000,
+                "key {key}: {total} thousandths in all rounds, but its share is {expected}"
+            );
         }
     }
 
     #[test]
-    fn turns_stay_sound_while_parts_come_go_and_change(
+    fn rotation_stays_within_bounds_while_shares_change(
         changes in proptest::collection::vec(proptest::collection::btree_map(0usize..12, 0u64..2_500, 0..12), 1..80),
-        most in 0u64..10,
+        max in 0u64..10,
     ) {
-        let mut turns = FairRotation::default();
-        for parts in changes {
-            let given = turns.next_round(&parts, most);
-            prop_assert!(given.values().sum::<u64>() <= most);
-            for (k, n) in given {
-                prop_assert!(parts.contains_key(&k) && n <= parts[&k] / 1_000 + 3);
+        let mut rotation = FairRotation::default();
+        for shares in changes {
+            let allocated = rotation.next_round(&shares, max);
+            prop_assert!(allocated.values().sum::<u64>() <= max);
+            for (key, count) in allocated {
+                prop_assert!(shares.contains_key(&key) && count <= shares[&key] / 1_000 + 3);
             }
         }
     }
 }
 
 #[test]
-fn thirty_connections_for_three_hundred_gateways_and_forty_tenants_go_round() {
-    // Each of 40 tenants has three quarters of a connection, over 300 gateways: a gateway has one in 400 rounds.
-    let parts: BTreeMap<u32, u64> = (0..300).map(|g| (g, 100)).collect();
-    let (mut turns, mut seen) = (FairRotation::default(), BTreeMap::<u32, u64>::new());
+fn thirty_connections_rotate_evenly_among_300_gateways() {
+    // The share of each gateway, a tenth of a connection, is far below one connection, so it gets two in 20 rounds.
+    let shares: BTreeMap<u32, u64> = (0..300).map(|gateway| (gateway, 100)).collect();
+    let (mut rotation, mut totals) = (FairRotation::default(), BTreeMap::<u32, u64>::new());
     for _ in 0..20 {
-        turns.next_round(&parts, 30).into_iter().for_each(|(g, n)| *seen.entry(g).or_default() += n);
+        let allocated = rotation.next_round(&shares, 30);
+        allocated.into_iter().for_each(|(gateway, count)| *totals.entry(gateway).or_default() += count);
     }
-    assert_eq!(seen.len(), 300, "each had a turn");
-    assert!(seen.values().all(|n| *n == 2), "and all had as many");
+    assert_eq!(totals.len(), 300, "each gateway should get a connection");
+    assert!(totals.values().all(|total| *total == 2), "each gateway should get as many as the others");
 }
