--- a/crates/connection-budget/src/compiled_policy.rs
+++ b/crates/connection-budget/src/compiled_policy.rs
@@ -141,7 +141,7 @@
 }
 
 /// By budget and tenant class: ascending indices of the rules that select it. Each tenant has a tenant class for each
-/// class of requests that one of its rules names, and one for all others.
+/// class of requests for which some rule selects it, and one for all others.
 fn rules_by_budget(
     policy: &Policy,
     inventory: &Inventory,
--- a/crates/connection-budget/src/planner.rs
+++ b/crates/connection-budget/src/planner.rs
@@ -68,9 +68,9 @@
     pub fallback: u32,
     /// Whether a tenant class with demand at the gateway holds less than its floor; such a gateway is served first.
     pub below_floor: bool,
-    /// Time or round at which the gateway's turn ends; 0 if it has none. The gateway whose turn ends earliest is served
-    /// first. If only gateway numbers decided, a gateway that had to wait a round for a recall would lose its turn to
-    /// one that begins later, and some gateways would never be served.
+    /// Time or round at which the gateway's turn ends; 0 if it has none. Of gateways with equally many permits, the one
+    /// whose turn ends earliest is served first. If gateway numbers alone decided, a gateway that had to wait a round
+    /// for a recall would lose its turn to one that begins later, and some gateways would never be served.
     pub turn_end: u64,
 }
 
--- a/crates/connection-budget/src/terms.rs
+++ b/crates/connection-budget/src/terms.rs
@@ -20,7 +20,7 @@
 }
 
 impl TermSources {
-    /// The rules that set at least one term.
+    /// Indices of the rules that set at least one term; an index is repeated for each term that its rule sets.
     pub(crate) fn rules(&self) -> impl Iterator<Item = usize> {
         [self.floor, self.weight, self.ceiling, self.shed_order, self.loan, self.fallback]
             .into_iter()
--- a/crates/connection-budget/src/verification/error.rs
+++ b/crates/connection-budget/src/verification/error.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// A problem of a setting in a policy. Fields that name a rule hold its name only or, if they are called `..._rule` or
-/// `largest`, its index and name; `when` describes the combination of conditions under which the problem arises.
+/// A problem of a setting in a policy. Where a variant has the field `when`, it describes the combination of conditions
+/// under which the problem arises, such as `when no condition is active`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyProblem {
     /// A list has more entries than allowed.
@@ -178,7 +178,7 @@
         budget: String,
         /// Floor of the tenant class, connections.
         floor: u32,
-        /// The rule that sets the floor.
+        /// The rule that sets the floor, by index and name, or `no rule`.
         floor_rule: String,
         /// The rule that sets the fallback permits or, if none does, the loan; by index and name.
         rule: String,
@@ -212,9 +212,9 @@
         tenant: String,
         /// Name of the budget.
         budget: String,
-        /// The rule that sets the floor.
+        /// The rule that sets the floor, by index and name, or `no rule`.
         floor_rule: String,
-        /// The rule that sets the ceiling.
+        /// The rule that sets the ceiling, by index and name.
         ceiling_rule: String,
         /// The combination of conditions.
         when: String,
@@ -233,7 +233,7 @@
         connections: u64,
         /// The combination of conditions.
         when: String,
-        /// The rules that set the largest sums of floors, each with its sum.
+        /// The rules that set the largest sums of floors, each by index and name, with its sum.
         largest: String,
     },
 }
--- a/crates/connection-budget/src/verification/limits.rs
+++ b/crates/connection-budget/src/verification/limits.rs
@@ -7,8 +7,8 @@
 };
 use std::collections::BTreeMap;
 
-/// Maximum number of connections of one server, so that sums of connections do not overflow. A budget of this size
-/// limits nothing in practice, so gateways that do not know of it comply with it too.
+/// Maximum number of connections of one server, which keeps sums of connections small. A budget of this size limits
+/// nothing in practice, so gateways that do not know of it comply with it too.
 pub const MAX_CONNECTIONS_PER_SERVER: u32 = 1_000_000;
 /// Longest duration that a budget may set, milliseconds: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
--- a/crates/connection-budget/tests/planner.rs
+++ b/crates/connection-budget/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Planned changes of the ledger: as few as possible, and towards what is wanted.
+//! Planned changes of the ledger: no more than needed, and towards the wanted permits.
 
 use frostgauge_connection_budget::{
     plan, BudgetScope, Epoch, GatewayId, LedgerChange, LedgerError, PermitCounts, PermitLedger, PermitTarget,
