--- a/crates/connection-budget/src/compiled_policy.rs
+++ b/crates/connection-budget/src/compiled_policy.rs
@@ -146,7 +146,8 @@
     policy: &Policy,
     inventory: &Inventory,
 ) -> BTreeMap<String, BTreeMap<TenantClass, Vec<usize>>> {
-    let named_classes: BTreeSet<&String> = policy.rules.iter().flat_map(|rule| &rule.select.classes).collect();
+    let named_classes: BTreeSet<&String> =
+        policy.rules.iter().flat_map(|rule| &rule.select.classes).collect();
     let mut by_budget = BTreeMap::new();
     for (name, budget) in &policy.budgets {
         let mut by_tenant = BTreeMap::new();
--- a/crates/connection-budget/src/group_allocation.rs
+++ b/crates/connection-budget/src/group_allocation.rs
@@ -146,10 +146,9 @@
         let scarce =
             (claims.iter().zip(&shares)).any(|(claim, share)| share.connections_milli < claim.usable_milli());
         let unreachable = with_quorum_unreachable(policy, active_conditions);
-        let fallback: BTreeMap<&TenantClass, u32> =
-            (policy.terms(self.group, &unreachable))
-                .map(|(tenant_class, terms)| (tenant_class, terms.fallback))
-                .collect();
+        let fallback: BTreeMap<&TenantClass, u32> = (policy.terms(self.group, &unreachable))
+            .map(|(tenant_class, terms)| (tenant_class, terms.fallback))
+            .collect();
         let tenants =
             terms.iter().zip(claims.iter().zip(shares)).map(|((tenant_class, _), (claim, share))| {
                 let fallback = u64::from(fallback.get(tenant_class).copied().unwrap_or(0));
--- a/crates/connection-budget/src/verification/error.rs
+++ b/crates/connection-budget/src/verification/error.rs
@@ -99,7 +99,9 @@
     )]
     ZeroIdleLimit,
     /// The name of a condition is empty, or begins as a negation does.
-    #[error("the name of a condition must not be empty and must not begin with '!', which negates a condition")]
+    #[error(
+        "the name of a condition must not be empty and must not begin with '!', which negates a condition"
+    )]
     InvalidConditionName,
     /// A usage condition does not end at a lower percentage than it begins.
     #[error("must be less than percent, or the condition would flap")]
--- a/crates/connection-budget/src/verification/limits.rs
+++ b/crates/connection-budget/src/verification/limits.rs
@@ -44,7 +44,10 @@
     };
     let connections = budget.connections;
     if connections == 0 || connections > MAX_CONNECTIONS_PER_SERVER {
-        push("connections", PolicyProblem::ConnectionsOutOfRange { connections, max: MAX_CONNECTIONS_PER_SERVER });
+        push(
+            "connections",
+            PolicyProblem::ConnectionsOutOfRange { connections, max: MAX_CONNECTIONS_PER_SERVER },
+        );
     }
     let durations =
         [("attempt_ms", budget.attempt_ms), ("turn_ms", budget.rotation_ms), ("idle_ms", budget.idle_ms)];
--- a/crates/connection-budget/src/verification/names.rs
+++ b/crates/connection-budget/src/verification/names.rs
@@ -27,7 +27,11 @@
                 errors.push(unknown_name(format!("conditions.{name}.zone_dark.zone"), NameKind::Zone, zone));
             }
             Condition::UsageAbove { budget, .. } if !policy.budgets.contains_key(budget) => {
-                errors.push(unknown_name(format!("conditions.{name}.use_over.budget"), NameKind::Budget, budget));
+                errors.push(unknown_name(
+                    format!("conditions.{name}.use_over.budget"),
+                    NameKind::Budget,
+                    budget,
+                ));
             }
             _ => {}
         }
--- a/crates/connection-budget/src/verification/terms.rs
+++ b/crates/connection-budget/src/verification/terms.rs
@@ -119,7 +119,8 @@
                 *by_rule.entry(rule).or_default() += u64::from(terms.floor);
             }
         }
-        let mut largest: Vec<(u64, usize)> = by_rule.into_iter().map(|(rule, floors)| (floors, rule)).collect();
+        let mut largest: Vec<(u64, usize)> =
+            by_rule.into_iter().map(|(rule, floors)| (floors, rule)).collect();
         largest.sort_by(|a, b| b.cmp(a));
         largest.truncate(MAX_RULES_NAMED);
         let described: Vec<String> = (largest.iter())
--- a/crates/connection-budget/tests/allocator.rs
+++ b/crates/connection-budget/tests/allocator.rs
@@ -140,7 +140,10 @@
         }
         // Of the permits for shares below one connection, a sixth is moved and unused in each round.
         let total = f64::from(sums.iter().sum::<u32>());
-        assert!(total >= 20.0 * 60.0 * 0.8, "{gateways} gateways: {total} of 1200 permits held over 20 rounds");
+        assert!(
+            total >= 20.0 * 60.0 * 0.8,
+            "{gateways} gateways: {total} of 1200 permits held over 20 rounds"
+        );
         for ((tenant, sum), exact) in TENANTS.iter().zip(sums).zip(exact) {
             let (part, exact) = (f64::from(sum) / total, exact / 60.0);
             assert!(
--- a/crates/connection-budget/tests/condition_tracker.rs
+++ b/crates/connection-budget/tests/condition_tracker.rs
@@ -12,7 +12,8 @@
 
 #[test]
 fn zone_state_must_last_before_the_condition_changes() {
-    let policy = policy(Condition::ZoneUnavailable { zone: "a".into(), begin_after_ms: 100, end_after_ms: 500 });
+    let policy =
+        policy(Condition::ZoneUnavailable { zone: "a".into(), begin_after_ms: 100, end_after_ms: 500 });
     let (unavailable, available) = (
         Observation { unavailable_zones: ["a".to_owned()].into(), ..Observation::default() },
         Observation::default(),
@@ -26,7 +27,9 @@
             && !tracker.observe(249 * MS, &policy, &unavailable)
     );
     assert!(tracker.observe(250 * MS, &policy, &unavailable) && tracker.active().contains("c"));
-    assert!(!tracker.observe(300 * MS, &policy, &available) && !tracker.observe(799 * MS, &policy, &available));
+    assert!(
+        !tracker.observe(300 * MS, &policy, &available) && !tracker.observe(799 * MS, &policy, &available)
+    );
     assert!(tracker.observe(800 * MS, &policy, &available) && tracker.active().is_empty());
 }
 
--- a/crates/connection-budget/tests/max_min.rs
+++ b/crates/connection-budget/tests/max_min.rs
@@ -88,8 +88,9 @@
 /// bisection in floating point.
 fn exact_shares(connections: f64, claims: &[Claim]) -> Vec<f64> {
     let demand = |claim: &Claim| claim.demand_milli as f64 / 1e3;
-    let usable =
-        |claim: &Claim| claim.terms.ceiling.map_or(demand(claim), |ceiling| (ceiling as f64).min(demand(claim)));
+    let usable = |claim: &Claim| {
+        claim.terms.ceiling.map_or(demand(claim), |ceiling| (ceiling as f64).min(demand(claim)))
+    };
     let wanted_floor = |claim: &Claim| (claim.terms.floor as f64).min(usable(claim));
     let reserved: f64 = claims
         .iter()
--- a/crates/connection-budget/tests/planner.rs
+++ b/crates/connection-budget/tests/planner.rs
@@ -50,7 +50,10 @@
     let wanted = targets(&[(1, 6), (2, 3), (3, 3)]);
     plan_and_apply(&mut ledger, &scopes, &wanted);
     assert_eq!([1, 2, 3].map(|gateway| target_sum(&ledger, &scopes, gateway)), [6, 3, 3]);
-    assert!(scopes.iter().all(|scope| ledger.permits(scope, 1).target == 2), "gateway 1 has two at each server");
+    assert!(
+        scopes.iter().all(|scope| ledger.permits(scope, 1).target == 2),
+        "gateway 1 has two at each server"
+    );
     assert_eq!(plan(&ledger, &scopes, &wanted, 100), vec![], "nothing changes once all have what they want");
     // A gateway that wants less keeps its permits while no other lacks any.
     assert_eq!(plan(&ledger, &scopes, &targets(&[(1, 2), (2, 3), (3, 3)]), 100), vec![]);
--- a/crates/connection-budget/tests/policy.rs
+++ b/crates/connection-budget/tests/policy.rs
@@ -10,7 +10,9 @@
     Inventory {
         tenants: [tenant("norte", "base"), tenant("sul", "base"), tenant("oeste", "alargado")].into(),
         classes: ["read".to_owned(), "photo".to_owned()].into(),
-        servers: (0..4).map(|index| (format!("s{index}"), if index < 2 { "a" } else { "b" }.to_owned())).collect(),
+        servers: (0..4)
+            .map(|index| (format!("s{index}"), if index < 2 { "a" } else { "b" }.to_owned()))
+            .collect(),
     }
 }
 
@@ -88,7 +90,10 @@
         ),
         "{reported:?}"
     );
-    assert!(reported[0].contains("rules[2] 'large in the dark' (13) and rules[0] 'base' (8)"), "{reported:?}");
+    assert!(
+        reported[0].contains("rules[2] 'large in the dark' (13) and rules[0] 'base' (8)"),
+        "{reported:?}"
+    );
     let fitting = rules.replace("13", "12");
     assert!(errors(&fitting, DARK).is_empty(), "{:?}", errors(&fitting, DARK));
 }
@@ -190,7 +195,10 @@
     ];
     for (rules, conditions, expected) in cases {
         let reported = errors(rules, conditions);
-        assert!(reported.iter().any(|error| error.starts_with(expected)), "expected {expected}: {reported:?}");
+        assert!(
+            reported.iter().any(|error| error.starts_with(expected)),
+            "expected {expected}: {reported:?}"
+        );
     }
     let too_many: Vec<String> = (0..9)
         .map(|index| format!(r#""c{index}": {{ "keepers_unreachable": {{ "for_ms": 1, "over_ms": 1 }} }}"#))
--- a/crates/connection-budget/tests/sum.rs
+++ b/crates/connection-budget/tests/sum.rs
@@ -198,7 +198,8 @@
             self.step_ledger();
         }
         for server in 0..SERVERS {
-            let is_open = |c: &&Connection| c.server == server && c.open_from <= self.now && c.closed.is_none();
+            let is_open =
+                |c: &&Connection| c.server == server && c.open_from <= self.now && c.closed.is_none();
             let open = self.connections.iter().filter(is_open).count() as u32;
             self.max_excess = self.max_excess.max(open.saturating_sub(CONNECTIONS_PER_SERVER));
         }
@@ -293,8 +294,7 @@
         if self.processes[&from].last().is_none_or(|process| process.incarnation != incarnation) {
             return;
         }
-        let is_sole =
-            self.processes[&from].len() == 1 || self.bug == Some(InjectedBug::SoleProcessAssumed);
+        let is_sole = self.processes[&from].len() == 1 || self.bug == Some(InjectedBug::SoleProcessAssumed);
         self.ledger.begin_incarnation(from, incarnation);
         if self.sole_since.get(&from).is_none_or(|(known, _)| *known != incarnation) {
             self.sole_since.remove(&from);
@@ -340,8 +340,7 @@
             }
         }
         // A gateway that was sent no grant for so long can have no connection open under its lease.
-        let linger =
-            if self.bug == Some(InjectedBug::FreedBeforeIdleLimit) { 0 } else { ATTEMPT + IDLE };
+        let linger = if self.bug == Some(InjectedBug::FreedBeforeIdleLimit) { 0 } else { ATTEMPT + IDLE };
         for gateway in self.processes.keys().copied().collect::<Vec<_>>() {
             // A grant is valid for a lease from the sending of the report that it answers, so at most until a lease
             // after the grant was sent.
@@ -489,7 +488,10 @@
         assert_eq!(excess, 0, "seed {seed}");
         total_opened += opened;
     }
-    assert!(total_opened > 60 * 50, "permits should be used, but only {total_opened} connections were opened");
+    assert!(
+        total_opened > 60 * 50,
+        "permits should be used, but only {total_opened} connections were opened"
+    );
 }
 
 #[test]
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -8,7 +8,9 @@
 mod sample;
 
 use fixture::{assert_same_files, files, hex, Files, TestFolder};
-use frostgauge_connection_budget::{BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS_PER_SERVER};
+use frostgauge_connection_budget::{
+    BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS_PER_SERVER,
+};
 use frostgauge_consensus::{
     Attestation, Configuration, Entry, FieldError, GatewayId, Message, Outcome, PermitChange, Replica,
     ServerState, StateMachine, Version, VersionNumber,
