--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -172,8 +172,8 @@
         self.state_machine.as_ref()
     }
 
-    /// The number of the configuration it is in, from 1; 0: none.
-    pub fn configuration(&self) -> u32 {
+    /// The number of the configuration that this replica is in, from 1; 0 if its storage holds none.
+    pub fn configuration_number(&self) -> u32 {
         self.membership.configuration
     }
 
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -178,7 +178,7 @@
     for me in KEEPERS {
         let folder = TestFolder::copy_of(&fixture(&format!("keeper-{me}")), &format!("open-{me}"));
         let keeper = open(folder.path(), me);
-        assert_eq!((keeper.configuration(), keeper.is_voter()), (1, true));
+        assert_eq!((keeper.configuration_number(), keeper.is_voter()), (1, true));
         let machine = keeper.state_machine().expect("a record");
         assert_stored_versions(machine);
         assert_stored_slots(machine);
@@ -240,7 +240,7 @@
     journal.sync().expect("a disk that works");
     drop(journal);
     let keeper = open(folder.path(), 1);
-    assert_eq!((keeper.configuration(), keeper.is_voter()), (3, true));
+    assert_eq!((keeper.configuration_number(), keeper.is_voter()), (3, true));
     let machine = keeper.state_machine().expect("a record");
     assert_eq!(machine.outcome(1), Some(&Outcome::Numbered(2)));
     assert_eq!(machine.outcome(2), None);
--- a/crates/fleet-agent/src/task/status.rs
+++ b/crates/fleet-agent/src/task/status.rs
@@ -34,7 +34,7 @@
 fn replica_status(replica: &Replica<Disk>) -> Value {
     let (machine, stats) = (replica.state_machine(), replica.stats());
     json!({
-        "seated": replica.is_voter(), "leads": replica.is_leader(), "config": replica.configuration(),
+        "seated": replica.is_voter(), "leads": replica.is_leader(), "config": replica.configuration_number(),
         "in_force": machine.map(|machine| machine.in_force()),
         "latest": machine.map(|machine| machine.latest()),
         "for_all": machine.map(|machine| machine.fallback_version()),
