--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -64,8 +64,9 @@
     pub leases_granted: u64,
     /// Requests answered without one.
     pub leases_withheld: u64,
-    /// Messages of no use here: of another configuration, out of place, from a sender that does not vote.
-    pub unrecognized: u64,
+    /// Messages that were ignored: of a kind that replicas don't handle, with an invalid content, from a sender that is
+    /// not a voter, or proposals beyond the limit of pending ones. Ignored permit reports in lease requests count too.
+    pub ignored_messages: u64,
     /// Syncs of the storage.
     pub syncs: u64,
 }
@@ -229,7 +230,7 @@
             Message::ChangeVoters { voters } if is_valid_voter_count(voters.len()) => {
                 self.membership.request_voters(voters);
             }
-            _ => self.stats.unrecognized += 1,
+            _ => self.stats.ignored_messages += 1,
         }
         self.settle(now)
     }
@@ -288,7 +289,7 @@
             return Ok(());
         }
         if self.membership.is_stranger(from) {
-            self.stats.unrecognized += 1;
+            self.stats.ignored_messages += 1;
             return Ok(());
         }
         if !self.sequences.accept(from, sequence, self.ticks) {
@@ -301,7 +302,7 @@
         }
         let Some(voter) = &mut self.voter else { return Ok(()) };
         if !voter.receive(from, sender_position, message, self.ticks)? {
-            self.stats.unrecognized += 1;
+            self.stats.ignored_messages += 1;
         }
         Ok(())
     }
--- a/crates/consensus/src/replica/requests.rs
+++ b/crates/consensus/src/replica/requests.rs
@@ -38,7 +38,7 @@
         let machine = self.state_machine.as_ref()?;
         let report = request.permits.as_ref()?;
         if !self.permit_issuer.record_report(now, follower, request.incarnation, report) {
-            self.stats.unrecognized += 1;
+            self.stats.ignored_messages += 1;
         }
         let expires_at = lease_expires_at?;
         self.permit_issuer.grant(follower, request.incarnation, report.seen_epoch, expires_at, machine)
@@ -86,7 +86,7 @@
             return self.outbox.push((from, Message::ProposalOutcome { id, outcome }));
         }
         if !self.pending_proposals.has_capacity_for(id) {
-            self.stats.unrecognized += 1;
+            self.stats.ignored_messages += 1;
             return;
         }
         let repropose_after = self.timing.tick * REPROPOSE_TICKS;
--- a/crates/fleet-agent/src/task/status.rs
+++ b/crates/fleet-agent/src/task/status.rs
@@ -40,7 +40,7 @@
         "for_all": machine.map(|machine| machine.fallback_version()),
         "keepers": machine.map(|machine| machine.voters().clone()),
         "leases": stats.leases_granted, "unleased": stats.leases_withheld,
-        "strange": stats.unrecognized, "syncs": stats.syncs,
+        "strange": stats.ignored_messages, "syncs": stats.syncs,
     })
 }
 
