--- a/crates/consensus/src/replica/lease_granter.rs
+++ b/crates/consensus/src/replica/lease_granter.rs
@@ -64,7 +64,7 @@
     ) -> BTreeSet<VersionNumber> {
         let binding = self.binding.get_or_insert_with(|| BindingVersions {
             canaries: machine.binding_versions_of_canaries(),
-            others: machine.binding_versions_of_others(),
+            others: machine.binding_versions_of_non_canaries(),
         });
         if machine.is_fully_rolled_out() || machine.is_canary(machine.in_force(), follower) {
             binding.canaries.clone()
@@ -116,7 +116,7 @@
             let is_in_fleet = fleet.is_some_and(|fleet| fleet.contains(&follower));
             *compared
                 .entry((versions, is_in_fleet))
-                .or_insert_with(|| machine.conflicts(follower, versions, next))
+                .or_insert_with(|| machine.lease_conflicts(follower, versions, next))
         })
     }
 
--- a/crates/consensus/src/state_machine/binding.rs
+++ b/crates/consensus/src/state_machine/binding.rs
@@ -28,7 +28,7 @@
     }
 
     /// The versions that bind the gateways that are no canaries.
-    pub fn binding_versions_of_others(&self) -> BTreeSet<VersionNumber> {
+    pub fn binding_versions_of_non_canaries(&self) -> BTreeSet<VersionNumber> {
         self.binding_versions(self.rolled_out)
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Whether acting under a lease on these versions would conflict with a version that comes into force.
-    pub fn conflicts(
+    pub fn lease_conflicts(
         &self,
         gateway: GatewayId,
         versions: &BTreeSet<VersionNumber>,
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -145,9 +145,9 @@
         }
         let mut conflicts = [false; 8];
         for set in [0b010u8, 0b100, 0b110] {
-            conflicts[usize::from(set)] = machine.conflicts(4, &numbers(set), 2);
+            conflicts[usize::from(set)] = machine.lease_conflicts(4, &numbers(set), 2);
         }
-        let binds = machine.binding_versions_of_others().into_iter().fold(0, |set, n| set | 1 << n);
+        let binds = machine.binding_versions_of_non_canaries().into_iter().fold(0, |set, n| set | 1 << n);
         let says = Says { binds, next: machine.next_version() == Some(2), conflicts };
         known.insert(log.to_vec(), says);
         says
