--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -42,13 +42,13 @@
     Snapshot(#[from] SnapshotError),
     /// The consensus library rejects the configuration.
     #[error("accord.keepers: {0}")]
-    Cluster(String),
+    InvalidClusterConfig(String),
     /// The consensus library found its own state impossible.
     #[error("the consensus found its own state impossible")]
     ConsensusPanicked,
     /// A fleet is bootstrapped with a number of voters that is not allowed.
     #[error("accord.keepers: {0} are named, 3, 5 or 7 may be")]
-    VoterCount(usize),
+    InvalidVoterCount(usize),
     /// A fleet is bootstrapped with invalid rules.
     #[error(transparent)]
     InvalidRules(#[from] FieldErrors),
@@ -114,7 +114,7 @@
         seed: u64,
     ) -> Result<S, ReplicaError> {
         if !is_valid_voter_count(voters.len()) {
-            return Err(ReplicaError::VoterCount(voters.len()));
+            return Err(ReplicaError::InvalidVoterCount(voters.len()));
         }
         let machine = StateMachine::bootstrap(voters.clone(), rules, canary_percent, seed)?;
         let mut storage = LogStorage::open(storage)?;
--- a/crates/consensus/src/replica/voter.rs
+++ b/crates/consensus/src/replica/voter.rs
@@ -70,7 +70,7 @@
                 ..ServerConfig::default()
             },
         };
-        let paxos = config.build(log).map_err(|e| ReplicaError::Cluster(e.to_string()))?;
+        let paxos = config.build(log).map_err(|e| ReplicaError::InvalidClusterConfig(e.to_string()))?;
         Ok(Some(Voter { paxos, applied: 0, voters, stall: None, isolated_since_tick: None }))
     }
 
