--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -95,7 +95,7 @@
     canary_report: Option<(VersionNumber, bool)>,
     /// What its gateway has open and has demand for; none: it takes no permits.
     permit_report: Option<GatewayReport>,
-    permit_notices: Arc<ReceivedGrants>,
+    received_grants: Arc<ReceivedGrants>,
     rng: ChaCha8Rng,
     stats: FollowerStats,
     outbox: Vec<(GatewayId, Message)>,
@@ -131,7 +131,7 @@
             next_request: now + rng.random_range(0..=timing.jitter),
             canary_report: None,
             permit_report: None,
-            permit_notices: Arc::default(),
+            received_grants: Arc::default(),
             rng,
             stats: FollowerStats::default(),
             outbox: vec![],
@@ -180,8 +180,8 @@
     }
 
     /// The permits that voters have granted its gateway.
-    pub fn permit_notices(&self) -> &Arc<ReceivedGrants> {
-        &self.permit_notices
+    pub fn received_grants(&self) -> &Arc<ReceivedGrants> {
+        &self.received_grants
     }
 
     /// When [`Follower::advance`] is due.
@@ -328,7 +328,7 @@
         let with_quorum = |voters: &BTreeSet<GatewayId>| (voters.clone(), self.timing.quorum(voters.len()));
         let configurations = self.configurations.iter();
         let quorums = configurations.map(|(number, voters)| (*number, with_quorum(voters))).collect();
-        let notices = Arc::make_mut(&mut self.permit_notices);
+        let notices = Arc::make_mut(&mut self.received_grants);
         notices.set_quorums(quorums);
         notices.receive(from, response.configuration, grant, expires_at);
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -26,7 +26,7 @@
 pub use replica::{Replica, ReplicaError, ReplicaStats};
 pub use ruleset::{
     changed_paths, Class, FieldError, FieldErrors, GatewayId, Plan, Rules, Server, ServerState, Tenant,
-    FORMAT,
+    RULES_FORMAT,
 };
 pub use state_machine::{Entry, Outcome, Proposal, SnapshotError, StateMachine, MAX_VERSIONS};
 pub use timing::{Micros, Timing, TimingSettings};
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -78,9 +78,9 @@
         /// The consensus library's own message.
         message: Box<omnipaxos::messages::Message<Entry>>,
     },
-    /// A voter's configuration, in reply to one that is in a later.
-    Behind {
-        /// The number of the configuration.
+    /// The sender is still in an earlier configuration than the voter that it replies to, and needs the later one.
+    OutdatedConfiguration {
+        /// The number of the sender's configuration.
         configuration: u32,
     },
     /// What a later configuration began with.
--- a/crates/consensus/src/permit_issuer.rs
+++ b/crates/consensus/src/permit_issuer.rs
@@ -135,7 +135,7 @@
         machine: &StateMachine,
     ) -> Option<PermitGrant> {
         let permits = machine.permits();
-        if !machine.has_budgets() || !permits.knows_start(self.self_id, self.nonce) {
+        if !machine.has_budgets() || !permits.is_voter_start_recorded(self.self_id, self.nonce) {
             return None;
         }
         if self.expired_in_round.get(&to) == Some(&permits.attestation_round(to).0) {
@@ -181,7 +181,7 @@
             return vec![];
         }
         let permits = machine.permits();
-        if !permits.knows_start(self.self_id, self.nonce) {
+        if !permits.is_voter_start_recorded(self.self_id, self.nonce) {
             let start = PermitChange::VoterStarted { voter: self.self_id, nonce: self.nonce };
             return self.batch(now, [(Proposed::VoterStarted, start)]);
         }
@@ -242,7 +242,7 @@
         heard
             .map(|(gateway, round)| {
                 let (gateway, round) = (*gateway, *round);
-                let change = PermitChange::GatewayHeardAgain { gateway, round };
+                let change = PermitChange::GatewayActiveAgain { gateway, round };
                 (Proposed::HeardAgain(gateway, round), change)
             })
             .collect()
--- a/crates/consensus/src/permit_state.rs
+++ b/crates/consensus/src/permit_state.rs
@@ -2,7 +2,7 @@
 //!
 //! It is a state machine over the same log as the versions. Permits are freed by the gateway's own report, or when a
 //! majority of voters attest that all they granted it has expired. A voter that has attested that grants the gateway
-//! no permits before the log has discarded the attestation, or acted on it ([`PermitChange::GatewayHeardAgain`], and
+//! no permits before the log has discarded the attestation, or acted on it ([`PermitChange::GatewayActiveAgain`], and
 //! the round that each attestation belongs to).
 
 use crate::ruleset::{GatewayId, ServerState};
@@ -71,7 +71,7 @@
         attestation: Attestation,
     },
     /// The gateway is heard again: attestations of this round count no more.
-    GatewayHeardAgain {
+    GatewayActiveAgain {
         /// The gateway.
         gateway: GatewayId,
         /// The round that ends.
@@ -136,7 +136,7 @@
     }
 
     /// Whether the start of a voter's process is recorded: before that it grants no permits.
-    pub fn knows_start(&self, voter: GatewayId, nonce: u64) -> bool {
+    pub fn is_voter_start_recorded(&self, voter: GatewayId, nonce: u64) -> bool {
         self.voter_nonces.get(&voter) == Some(&nonce)
     }
 
@@ -157,11 +157,11 @@
                 }
             }
             PermitChange::Attested { voter, nonce, gateway, round, attestation } => {
-                if voters.contains(&voter) && self.knows_start(voter, nonce) {
+                if voters.contains(&voter) && self.is_voter_start_recorded(voter, nonce) {
                     self.attest(voter, gateway, round, attestation, voters.len());
                 }
             }
-            PermitChange::GatewayHeardAgain { gateway, round } => {
+            PermitChange::GatewayActiveAgain { gateway, round } => {
                 if let Some(current) = self.rounds.get_mut(&gateway).filter(|r| r.number == round) {
                     current.end();
                 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -218,7 +218,7 @@
                 let position = LogPosition::from_wire(log_position);
                 self.handle_paxos(from, configuration, sequence, position, *message)?;
             }
-            Message::Behind { configuration } if configuration < self.membership.configuration => {
+            Message::OutdatedConfiguration { configuration } if configuration < self.membership.configuration => {
                 self.send_configuration(from);
             }
             Message::Install(configuration) => return self.install_configuration(now, *configuration),
@@ -295,7 +295,7 @@
             return Ok(());
         }
         if configuration > self.membership.configuration {
-            let behind = Message::Behind { configuration: self.membership.configuration };
+            let behind = Message::OutdatedConfiguration { configuration: self.membership.configuration };
             self.outbox.push((from, behind));
             return Ok(());
         }
--- a/crates/consensus/src/ruleset.rs
+++ b/crates/consensus/src/ruleset.rs
@@ -11,7 +11,7 @@
 /// A gateway's number in the fleet.
 pub type GatewayId = u16;
 /// The format of [`Rules`] that this program writes and reads.
-pub const FORMAT: u16 = 2;
+pub const RULES_FORMAT: u16 = 2;
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// [`FORMAT`].
+    /// [`RULES_FORMAT`].
     pub format: u16,
     /// Classes of requests, by name.
     pub classes: BTreeMap<String, Class>,
--- a/crates/consensus/src/ruleset/validation.rs
+++ b/crates/consensus/src/ruleset/validation.rs
@@ -1,6 +1,6 @@
 //! Validation of rules, before a version of them gets a number.
 
-use super::{Rules, FORMAT};
+use super::{Rules, RULES_FORMAT};
 use frostgauge_connection_budget::{CompiledPolicy, Policy};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -59,8 +59,8 @@
     }
 
     fn validate_sizes(&self, errors: &mut Vec<FieldError>) {
-        if self.format != FORMAT {
-            let reason = format!("is {}, this program knows {FORMAT}", self.format);
+        if self.format != RULES_FORMAT {
+            let reason = format!("is {}, this program knows {RULES_FORMAT}", self.format);
             errors.push(FieldError::new("format", reason));
         }
         if self.gateways.is_empty() {
--- a/crates/consensus/tests/common/sample.rs
+++ b/crates/consensus/tests/common/sample.rs
@@ -7,7 +7,7 @@
 };
 use frostgauge_consensus::{
     Class, GatewayId, LeaseRequest, Message, Plan, Proposal, Replica, Rules, Server, ServerState, Tenant,
-    Timing, TimingSettings, FORMAT,
+    Timing, TimingSettings, RULES_FORMAT,
 };
 use frostgauge_storage::Disk;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -94,7 +94,7 @@
         zone: zone.to_owned(),
     };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: map([("read", read), ("report", report)]),
         plans: map([("large", large), ("small", small)]),
         tenants: map([("norte", norte), ("sul", sul)]),
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -5,7 +5,7 @@
 //! lease is one, an answer may be a step on its way.
 
 use frostgauge_consensus::{
-    Class, Entry, Plan, Proposal, Rules, Server, ServerState as Ready, StateMachine, Tenant, FORMAT,
+    Class, Entry, Plan, Proposal, Rules, Server, ServerState as Ready, StateMachine, Tenant, RULES_FORMAT,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeSet, HashMap};
@@ -101,7 +101,7 @@
     let class = Class { cost_milli: 1, repeatable: true, on_fallback: true };
     let tenant = Tenant { plan: "plan".into(), classes: ["read".to_owned()].into(), floor_milli: 1 };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), class)].into(),
         plans: [("plan".into(), Plan { rate_milli, ceiling_milli: None })].into(),
         tenants: [("sul".into(), tenant)].into(),
--- a/crates/consensus/tests/permits.rs
+++ b/crates/consensus/tests/permits.rs
@@ -161,7 +161,7 @@
                 Entry::Over(keeper, start, round) => {
                     let keeper = if self.plant == Plant::OneWord { 0 } else { keeper };
                     let nonce = if self.plant == Plant::OneWord {
-                        nonce(0, u8::from(grants.knows_start(0, self::nonce(0, 1))))
+                        nonce(0, u8::from(grants.is_voter_start_recorded(0, self::nonce(0, 1))))
                     } else {
                         nonce(keeper, start)
                     };
@@ -174,7 +174,7 @@
                         attestation: Attestation::LeasesExpired,
                     }
                 }
-                Entry::Back(round) => PermitChange::GatewayHeardAgain {
+                Entry::Back(round) => PermitChange::GatewayActiveAgain {
                     gateway: HOLDER,
                     round: u64::from(round) + first_round(),
                 },
@@ -186,7 +186,7 @@
             epochs.push(grants.ledger().epoch(HOLDER));
         }
         let (epoch, slots) = grants.ledger().permits_of(HOLDER);
-        let born = [0u8, 1, 2].map(|k| grants.knows_start(u16::from(k), nonce(k, 1)));
+        let born = [0u8, 1, 2].map(|k| grants.is_voter_start_recorded(u16::from(k), nonce(k, 1)));
         let round = (grants.attestation_round(HOLDER).0 - first_round()) as u8;
         let other = grants.ledger().permits(&place(), OTHER).held > 0;
         let says = Says { epoch, slots, round, other, born };
--- a/crates/consensus/tests/ruleset.rs
+++ b/crates/consensus/tests/ruleset.rs
@@ -3,7 +3,7 @@
 use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS};
 use frostgauge_consensus::{
     changed_paths, fallback_violations, find_conflicts, Class, Entry, Outcome, Plan, Proposal, Rules, Server,
-    ServerState, StateMachine, Tenant, TimingSettings, Version, VersionError, FORMAT,
+    ServerState, StateMachine, Tenant, TimingSettings, Version, VersionError, RULES_FORMAT,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
             Some((format!("s{k}"), Server { address: format!("10.0.0.{}:80", k + 1), state, zone: String::new() }))
         });
         Rules {
-            format: FORMAT,
+            format: RULES_FORMAT,
             classes,
             plans: [("plan".into(), plan)].into(),
             tenants: [("sul".into(), Tenant { plan: "plan".into(), classes: may, floor_milli: floor })].into(),
@@ -132,7 +132,7 @@
 fn some() -> Rules {
     let class = |cost_milli| Class { cost_milli, repeatable: true, on_fallback: true };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), class(1_000))].into(),
         plans: [("plan".into(), Plan { rate_milli: 9_000, ceiling_milli: None })].into(),
         tenants: [(
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -169,7 +169,7 @@
     );
     assert_eq!([2, 4].map(|gateway| ledger.incarnation(gateway)), [Some(1_002), Some(1_004)]);
     for keeper in KEEPERS {
-        assert!(grants.knows_start(keeper, 100 + u64::from(keeper)));
+        assert!(grants.is_voter_start_recorded(keeper, 100 + u64::from(keeper)));
     }
 }
 
@@ -336,7 +336,7 @@
         ("over silent", over(Attestation::LeasesExpired)),
         ("over past", over(Attestation::EarlierLeasesExpired)),
         ("over ended", over(Attestation::EarlierProcessesEnded)),
-        ("back", PermitChange::GatewayHeardAgain { gateway: 4, round: 5 }),
+        ("back", PermitChange::GatewayActiveAgain { gateway: 4, round: 5 }),
         ("deal", PermitChange::Allocated { active_conditions: BTreeSet::from(["night".to_owned()]), moves }),
     ];
     for (name, change) in &changes {
--- a/crates/consensus/tests/wire_bytes.rs
+++ b/crates/consensus/tests/wire_bytes.rs
@@ -97,7 +97,7 @@
     let class = |cost_milli, repeatable, ground| Class { cost_milli, repeatable, on_fallback: ground };
     let tenant = |plan: &str| Tenant { plan: plan.to_owned(), classes: names(&["read"]), floor_milli: 500 };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: map(vec![("read", class(1_000, true, false)), ("report", class(6_000, false, true))]),
         plans: map(vec![
             ("base", Plan { rate_milli: 2_700, ceiling_milli: Some(4_000) }),
@@ -163,7 +163,7 @@
         over(Attestation::LeasesExpired),
         over(Attestation::EarlierLeasesExpired),
         over(Attestation::EarlierProcessesEnded),
-        PermitChange::GatewayHeardAgain { gateway: 1, round: 3 },
+        PermitChange::GatewayActiveAgain { gateway: 1, round: 3 },
         PermitChange::Allocated {
             active_conditions: names(&["a-dark"]),
             moves: vec![
@@ -324,7 +324,7 @@
         all.push((format!("told-{name}"), Message::ProposalOutcome { id: 9, outcome }));
     }
     let others = [
-        ("behind", Message::Behind { configuration: 4 }),
+        ("behind", Message::OutdatedConfiguration { configuration: 4 }),
         ("install", Message::Install(Box::new(base()))),
         ("lost", Message::StorageLost { nonce: 55 }),
         ("ask", Message::LeaseRequest(ask())),
--- a/crates/fleet-agent/benches/guard.rs
+++ b/crates/fleet-agent/benches/guard.rs
@@ -4,7 +4,7 @@
 use frostgauge_connection_budget::{
     Budget, BudgetScope, PermitCounts, PermitGrant, Policy, ReceivedGrants, TenantClass,
 };
-use frostgauge_consensus::{intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, FORMAT};
+use frostgauge_consensus::{intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT};
 use frostgauge_fleet_agent::{AttemptGuard, IndexedRules, LeasedRules, RulesView};
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
         (format!("t{k}"), Tenant { plan: "p".into(), classes, floor_milli: 0 })
     };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), class)].into(),
         plans: [("p".into(), Plan { rate_milli: u64::MAX >> 20, ceiling_milli: None })].into(),
         tenants: (0..tenants).map(tenant).collect(),
--- a/crates/fleet-agent/src/view_cache.rs
+++ b/crates/fleet-agent/src/view_cache.rs
@@ -35,7 +35,7 @@
             }
             RuleSource::Fallback(_) => None,
         };
-        let permits = follower.permit_notices().clone();
+        let permits = follower.received_grants().clone();
         Arc::new(RulesView { lease, fallback_version, fallback_rules, permits })
     }
 
--- a/crates/fleet-agent/tests/attempt_guard.rs
+++ b/crates/fleet-agent/tests/attempt_guard.rs
@@ -1,7 +1,7 @@
 //! What stands before each attempt.
 
 use frostgauge_consensus::{
-    intersect_all, Class, Plan, RuleSource, Rules, Server, ServerState, Tenant, Version, FORMAT,
+    intersect_all, Class, Plan, RuleSource, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT,
 };
 use frostgauge_fleet_agent::{AttemptGuard, AttemptRejection, IndexedRules, LeasedRules, RulesView};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
         floor_milli,
     };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [
             ("read".into(), class(true)),
             ("report".into(), class(false)),
--- a/crates/fleet-agent/tests/task.rs
+++ b/crates/fleet-agent/tests/task.rs
@@ -4,7 +4,7 @@
 use async_io::Timer;
 use frostgauge_consensus::{
     Class, GatewayId, Message, Outcome, Plan, Proposal, RuleSource, Rules, Server, ServerState, Tenant,
-    TimingSettings, FORMAT,
+    TimingSettings, RULES_FORMAT,
 };
 use frostgauge_fleet_agent::task::{self, Command, NumberedRules, TaskClock, TaskConfig, TaskHandle};
 use frostgauge_fleet_agent::ProcessConfig;
@@ -43,7 +43,7 @@
     let tenant = Tenant { plan: "p".into(), classes: ["read".to_owned()].into(), floor_milli: 100 };
     let server = Server { address: "127.0.0.1:9".into(), state: ServerState::Ready, zone: String::new() };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), class)].into(),
         plans: [("p".into(), Plan { rate_milli, ceiling_milli: None })].into(),
         tenants: [("vale".into(), tenant)].into(),
--- a/crates/fleet-simulator/src/config.rs
+++ b/crates/fleet-simulator/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::injected_bug::InjectedBug;
 use frostgauge_connection_budget::{Budget, Loan, Policy, Rule, Selector, TermOverrides};
-use frostgauge_consensus::{Class, Plan, Rules, Server, ServerState, Tenant, TimingSettings, FORMAT};
+use frostgauge_consensus::{Class, Plan, Rules, Server, ServerState, Tenant, TimingSettings, RULES_FORMAT};
 use std::collections::BTreeSet;
 
 /// A server closes a connection that was idle for so long, microseconds.
@@ -62,7 +62,7 @@
             (format!("s{k}"), Server { address, state: ServerState::Ready, zone: String::new() })
         };
         Rules {
-            format: FORMAT,
+            format: RULES_FORMAT,
             classes: [("read".into(), class(1_000, true)), ("report".into(), class(2_000, false))].into(),
             plans: [
                 ("small".into(), Plan { rate_milli: 4_000 * n, ceiling_milli: Some(6_000 * n) }),
--- a/crates/gateway/tests/budgeted_pool.rs
+++ b/crates/gateway/tests/budgeted_pool.rs
@@ -5,7 +5,7 @@
 use frostgauge_connection_budget::{
     Budget, BudgetScope, PermitCounts, PermitGrant, Policy, ReceivedGrants, TenantClass,
 };
-use frostgauge_consensus::{intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, FORMAT};
+use frostgauge_consensus::{intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT};
 use frostgauge_fleet_agent::{AttemptGuard, IndexedRules, LeasedRules, RulesView};
 use frostgauge_gateway::upstream::{BudgetedPath, BudgetedPool, PoolBounds, RulesAccess};
 use frostgauge_net::{exchange_by, End};
@@ -47,7 +47,7 @@
         let budget =
             Budget { zone: None, connections: 9, idle_ms: 60_000, attempt_ms: 60_000, rotation_ms: 1_000 };
         let rules = Rules {
-            format: FORMAT,
+            format: RULES_FORMAT,
             classes: [("read".into(), class)].into(),
             plans: [("p".into(), Plan { rate_milli: 1_000_000, ceiling_milli: None })].into(),
             tenants: ["norte", "sul"].map(|t| (t.to_owned(), tenant.clone())).into(),
--- a/crates/system-test/src/fleet_rules.rs
+++ b/crates/system-test/src/fleet_rules.rs
@@ -4,7 +4,7 @@
 use crate::generated_config::{lay, write_whole};
 use crate::process::Process;
 use frostgauge_connection_budget::Policy;
-use frostgauge_consensus::{Class, Plan, Rules, Server, ServerState, Tenant, VersionNumber, FORMAT};
+use frostgauge_consensus::{Class, Plan, Rules, Server, ServerState, Tenant, VersionNumber, RULES_FORMAT};
 use frostgauge_net::ask_with;
 use frostgauge_test_servers::now;
 use frostgauge_test_servers::paths::{How, Path};
@@ -131,7 +131,7 @@
             servers.insert(Fleet::node_name(k), Server { address, state: ServerState::Ready, zone });
         }
         Rules {
-            format: FORMAT,
+            format: RULES_FORMAT,
             classes: classes.collect(),
             plans: plans.collect(),
             tenants: tenants.collect(),
--- a/crates/system-test/src/rules_checks.rs
+++ b/crates/system-test/src/rules_checks.rs
@@ -186,7 +186,7 @@
 
 fn none() -> Rules {
     Rules {
-        format: frostgauge_consensus::FORMAT,
+        format: frostgauge_consensus::RULES_FORMAT,
         classes: BTreeMap::new(),
         plans: BTreeMap::new(),
         tenants: BTreeMap::new(),
--- a/crates/system-test/tests/rules_checkers.rs
+++ b/crates/system-test/tests/rules_checkers.rs
@@ -1,7 +1,7 @@
 //! The checks of agreed rules must fail: each planted fault is found, and the same records without it pass.
 
 use frostgauge_connection_budget::{Budget, Policy};
-use frostgauge_consensus::{Class, Plan, RuleSource, Rules, Server, ServerState, Tenant, FORMAT};
+use frostgauge_consensus::{Class, Plan, RuleSource, Rules, Server, ServerState, Tenant, RULES_FORMAT};
 use frostgauge_system_test::checks::Recorded;
 use frostgauge_system_test::rules_checks::{check, read, record, Terms};
 use frostgauge_test_servers::ledger::{Line, What};
@@ -15,7 +15,7 @@
     let all: BTreeSet<String> = ["read".to_owned()].into();
     let state = if ready { ServerState::Ready } else { ServerState::Draining };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), Class { cost_milli: 1_000, repeatable: true, on_fallback: true })].into(),
         plans: [("p".into(), Plan { rate_milli: sum, ceiling_milli: None })].into(),
         tenants: [("vale".into(), Tenant { plan: "p".into(), classes: all, floor_milli: 500 })].into(),
