--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -218,7 +218,9 @@
                 let position = LogPosition::from_wire(log_position);
                 self.handle_paxos(from, configuration, sequence, position, *message)?;
             }
-            Message::OutdatedConfiguration { configuration } if configuration < self.membership.configuration => {
+            Message::OutdatedConfiguration { configuration }
+                if configuration < self.membership.configuration =>
+            {
                 self.send_configuration(from);
             }
             Message::Install(configuration) => return self.install_configuration(now, *configuration),
--- a/crates/fleet-agent/benches/guard.rs
+++ b/crates/fleet-agent/benches/guard.rs
@@ -4,7 +4,9 @@
 use frostgauge_connection_budget::{
     Budget, BudgetScope, PermitCounts, PermitGrant, Policy, ReceivedGrants, TenantClass,
 };
-use frostgauge_consensus::{intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT};
+use frostgauge_consensus::{
+    intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT,
+};
 use frostgauge_fleet_agent::{AttemptGuard, IndexedRules, LeasedRules, RulesView};
 use std::hint::black_box;
 use std::net::SocketAddr;
--- a/crates/gateway/tests/budgeted_pool.rs
+++ b/crates/gateway/tests/budgeted_pool.rs
@@ -5,7 +5,9 @@
 use frostgauge_connection_budget::{
     Budget, BudgetScope, PermitCounts, PermitGrant, Policy, ReceivedGrants, TenantClass,
 };
-use frostgauge_consensus::{intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT};
+use frostgauge_consensus::{
+    intersect_all, Class, Plan, Rules, Server, ServerState, Tenant, Version, RULES_FORMAT,
+};
 use frostgauge_fleet_agent::{AttemptGuard, IndexedRules, LeasedRules, RulesView};
 use frostgauge_gateway::upstream::{BudgetedPath, BudgetedPool, PoolBounds, RulesAccess};
 use frostgauge_net::{exchange_by, End};
