--- a/src/api.rs
+++ b/src/api.rs
@@ -22,9 +22,9 @@
 pub enum Effect {
     /// Running the request twice does no harm.
     Idempotent,
-    /// Servers that share their idempotency keys run a request with the same key once within a time window.
+    /// The servers of one scope run requests with the same idempotency key only once within a time window.
     Deduplicated {
-        /// Which servers share their keys.
+        /// Which servers share the keys that they have received.
         scope: DedupScope,
         /// How long they remember a key, µs from the send of the first attempt that may have run.
         window: Micros,
@@ -208,7 +208,7 @@
 /// One entry of the list of servers.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
     /// Whether it accepts requests.
     pub state: ServerState,
@@ -283,14 +283,14 @@
 pub enum Event {
     /// An update of the server list.
     Servers {
-        /// Kind of update.
+        /// Whether `entries` is the complete list or a change of it.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the list; ignored if the update failed.
         entries: Vec<ServerEntry>,
     },
     /// A client's request arrived.
     Request {
-        /// Its id.
+        /// Id of the request, by which all later events and actions refer to it.
         id: RequestId,
         /// Index into [`Settings::classes`].
         class: usize,
@@ -311,16 +311,16 @@
     },
     /// A streamed answer has begun: the request can no longer be retried, nor answered by the gateway.
     AnswerStarted {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Index of the attempt among those of the request, in the order of sending.
         attempt: u32,
-        /// The server it was sent to.
+        /// Id of the server that it was sent to.
         server: ServerId,
         /// How it ended.
         status: Status,
@@ -337,7 +337,7 @@
     },
     /// The client disconnected before the final answer, which finishes its request.
     ClientDisconnected {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
     /// A timer expired.
@@ -347,7 +347,7 @@
     },
     /// The result of a probe.
     ProbeResult {
-        /// The server.
+        /// Id of the server.
         server: ServerId,
         /// How the probe ended.
         status: Status,
@@ -377,7 +377,7 @@
 /// An attempt for which a server is about to be chosen, as passed to a [`Gate`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingAttempt {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
     /// The effect of the request's class is [`Effect::Idempotent`].
     pub idempotent: bool,
@@ -431,16 +431,16 @@
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The server to send it to.
+        /// Id of the server to send it to.
         server: ServerId,
         /// Timeout of the attempt, µs.
         timeout: Micros,
     },
     /// Final answer: rejected; a retry does no harm.
     Reject {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// How long the client is advised to wait before a retry, µs; 0 gives no advice.
         retry_after: Micros,
@@ -449,12 +449,12 @@
     },
     /// Final answer: failed; the request may have run.
     Fail {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
     },
     /// Cancel an attempt: its answer is no longer needed.
     Cancel {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
         /// Index of the attempt among those of the request.
         attempt: u32,
@@ -468,7 +468,7 @@
     },
     /// Probe a server.
     Probe {
-        /// The server.
+        /// Id of the server.
         server: ServerId,
     },
     /// Send a message to another gateway.
@@ -491,7 +491,7 @@
     },
     /// A line for the operators' log.
     Log {
-        /// The text.
+        /// Text of the line.
         text: String,
     },
 }
--- a/src/outlier_detection.rs
+++ b/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: servers that fail more often than usual are ejected for a while, which means avoided.
+//! Outlier detection: servers that fail more often than usual are ejected, which means avoided for a while.
 
 use crate::api::{Micros, ServerId, ServerState};
 use crate::decay::decay;
@@ -41,7 +41,7 @@
 }
 
 impl Health {
-    /// Creates the health before any result, which is full.
+    /// Creates the health before any result: a success rate of 1.
     pub fn new(now: Micros) -> Health {
         Health { success: 1.0, observed_at: now, ..Health::default() }
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -7,8 +7,8 @@
 const RETRIES_PER_REQUEST: f64 = 0.15;
 /// Maximum number of allowed retries that are saved up.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Cost of a retry if no earlier attempt may have run: a rejection costs its server little work. Other
-/// retries cost 1.
+/// Cost of a retry if no earlier attempt may have run, and so none cost its server any work. Other retries
+/// cost 1.
 const RETRY_COST_IF_NOT_RUN: f64 = 0.25;
 /// Quantile of the requests' timeouts that is taken as the timeout of a first try; most requests are no
 /// retries.
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -22,7 +22,7 @@
     by_id: BTreeMap<ServerId, Server>,
     /// Servers that accept requests, in order of their ids.
     ready: Vec<ServerId>,
-    /// Ready servers of which it is not known that they are warm.
+    /// Ready servers that may still be warming up, in order of their ids.
     maybe_warming_up: Vec<ServerId>,
 }
 
