--- a/crates/connection-budget/src/demand_meter.rs
+++ b/crates/connection-budget/src/demand_meter.rs
@@ -8,7 +8,7 @@
 
 /// A request that found no connection adds as much demand as one that holds a connection for the window's length
 /// divided by this.
-const MISSED_WINDOW_DIVISOR: u64 = 20;
+const UNSERVED_WINDOW_DIVISOR: u64 = 20;
 
 /// Demand of one tenant class or one group: connections that are in use or that requests wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -86,7 +86,7 @@
         self.begin(now, group, tenant_class);
         self.end(now, group, tenant_class);
         if let Some(usage) = self.by_tenant.get_mut(&(group.to_owned(), tenant_class.clone())) {
-            usage.area += self.window / MISSED_WINDOW_DIVISOR;
+            usage.area += self.window / UNSERVED_WINDOW_DIVISOR;
         }
     }
 
--- a/crates/connection-budget/src/ledger.rs
+++ b/crates/connection-budget/src/ledger.rs
@@ -1,5 +1,5 @@
 //! The ledger of permits: how many connections each gateway may have open at each scope, such that their sum never
-//! exceeds the scope's capacity.
+//! exceeds the scope's capacity, except while permits beyond a lowered capacity are being recalled.
 //!
 //! Only a free permit is granted. A permit becomes free when its gateway has acknowledged its recall, or when the
 //! gateway can no longer have a connection open under it. The caller decides when that is so: after a lease, the
