--- a/crates/consensus/src/permit_issuer.rs
+++ b/crates/consensus/src/permit_issuer.rs
@@ -1,9 +1,9 @@
-//! A voter's part in issuing connection permits: what it grants each gateway, what it attests to have expired, and,
-//! while it leads, what it allocates.
+//! Issues connection permits on behalf of one voter: grants each gateway the permits that the record has for it,
+//! attests which leases have expired, and, while the voter leads, proposes allocations.
 //!
-//! What it granted by lease lasts as long as the lease, the longest attempt and the server's own idle limit together,
-//! since a stopped process keeps its sockets open. Only then it attests that a gateway's leases have expired, and from
-//! then on it grants that gateway nothing before the record has discarded the attestation or acted on it.
+//! A connection may outlive the lease of its permit by the longest attempt and the server's own idle limit together,
+//! since a stopped process keeps its sockets open. Only after that the voter attests that a gateway's leases have
+//! expired, and from then on it grants that gateway no permits until the round of attestations has ended.
 
 mod allocation;
 
@@ -15,17 +15,20 @@
 use frostgauge_connection_budget::{GatewayReport, PermitGrant, PermitLedger};
 use std::collections::BTreeMap;
 
-/// Changes in one entry.
+/// Largest number of changes in one log entry.
 const MAX_CHANGES_PER_ENTRY: usize = 512;
 
-/// What was granted to a gateway.
-struct Issued {
+/// The leases with permits that this voter granted to a gateway.
+struct IssuedLeases {
+    /// The process that the last lease was granted to.
     incarnation: u64,
-    /// When the last lease with permits expires, of this incarnation and of earlier ones.
+    /// When the last lease of this incarnation expires.
     expires_at: Micros,
+    /// When the last lease of earlier incarnations expires.
     earlier_expire_at: Micros,
-    /// The epoch that was granted last, and the one that it was last notified of.
+    /// The epoch of the permits that were granted last.
     epoch: u64,
+    /// The last epoch that the gateway was notified of.
     notified_epoch: u64,
 }
 
@@ -34,48 +37,56 @@
     incarnation: u64,
     received_at: Micros,
     report: GatewayReport,
-    /// Since when it is known that no earlier process runs.
+    /// When this voter learned that no earlier process of the gateway runs; none: one may still run.
     sole_process_since: Option<Micros>,
 }
 
-/// A change that was proposed, so that it is not proposed again before it can have been decided.
+/// Identifies a proposed change, so that it is not proposed again before it can have been decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Proposed {
+enum ProposalKey {
     VoterStarted,
+    /// The gateway, the round and the attestation.
     Attested(GatewayId, u64, Attestation),
-    HeardAgain(GatewayId, u64),
+    /// The gateway and the round.
+    ActiveAgain(GatewayId, u64),
+    /// The gateway and its incarnation.
     GatewayStarted(GatewayId, u64),
+    /// The gateway and its incarnation.
     GatewayLeft(GatewayId, u64),
-    Returned(GatewayId, u64),
+    /// The gateway and the epoch that it knew.
+    PermitsReturned(GatewayId, u64),
+    /// The number of earlier rounds of allocation.
     Allocated(u64),
 }
 
-/// Changes that are proposed now, each once in a while.
+/// Changes to be proposed in one entry: those that have not been proposed recently.
 struct ChangeBatch<'a> {
     now: Micros,
-    proposed_at: &'a mut BTreeMap<Proposed, Micros>,
+    proposed_at: &'a mut BTreeMap<ProposalKey, Micros>,
     changes: Vec<PermitChange>,
 }
 
 impl ChangeBatch<'_> {
-    fn push(&mut self, proposed: Proposed, change: PermitChange) {
-        if self.changes.len() < MAX_CHANGES_PER_ENTRY && !self.proposed_at.contains_key(&proposed) {
-            self.proposed_at.insert(proposed, self.now);
+    fn push(&mut self, key: ProposalKey, change: PermitChange) {
+        if self.changes.len() < MAX_CHANGES_PER_ENTRY && !self.proposed_at.contains_key(&key) {
+            self.proposed_at.insert(key, self.now);
             self.changes.push(change);
         }
     }
 }
 
-/// Issues permits on behalf of one voter. It is forgotten with its process, like leases.
+/// Issues permits on behalf of one voter. Its state is not stored: it is lost when the process ends, as leases are.
 pub(crate) struct PermitIssuer {
     self_id: GatewayId,
+    /// Identifies this voter's process, see [`PermitChange::VoterStarted`].
     nonce: u64,
     timing: Timing,
-    issued: BTreeMap<GatewayId, Issued>,
+    issued: BTreeMap<GatewayId, IssuedLeases>,
     reports: BTreeMap<GatewayId, LastReport>,
-    /// The round in which it attested that a gateway's leases have expired.
+    /// By gateway, the round in which this voter attested that all its leases have expired.
     expired_in_round: BTreeMap<GatewayId, u64>,
-    proposed_at: BTreeMap<Proposed, Micros>,
+    /// When changes were proposed; entries are kept while the change may still be decided.
+    proposed_at: BTreeMap<ProposalKey, Micros>,
     allocation: Allocation,
 }
 
@@ -93,20 +104,20 @@
         }
     }
 
-    /// Sets the time of day, minutes from midnight UTC.
+    /// Sets the time of day, in minutes since midnight UTC, for conditions that depend on it.
     pub(crate) fn set_minute_of_day(&mut self, minute: u16) {
         self.allocation.minute_of_day = minute;
     }
 
-    /// How long what was begun under a lease may last after it, on this clock.
-    fn linger(&self, machine: &StateMachine) -> Micros {
+    /// How long a connection may outlive the lease under which it was used, in microseconds on this voter's clock.
+    fn connection_linger(&self, machine: &StateMachine) -> Micros {
         if self.timing.bug_no_idle_wait {
             return 0;
         }
         self.timing.with_clock_drift(machine.connection_linger_ms() * 1_000)
     }
 
-    /// Records a gateway's report; false if it is out of bounds.
+    /// Records a gateway's report; returns false, and ignores it, if it has too many entries.
     pub(crate) fn record_report(
         &mut self,
         now: Micros,
@@ -117,15 +128,20 @@
         if !report.is_within_bounds() {
             return false;
         }
-        let earlier = self.reports.get(&from).filter(|last| last.incarnation == incarnation);
-        let known_since = earlier.and_then(|last| last.sole_process_since);
+        let previous = self.reports.get(&from).filter(|last| last.incarnation == incarnation);
+        let known_since = previous.and_then(|last| last.sole_process_since);
         let sole_process_since = report.sole_process.then(|| known_since.unwrap_or(now));
         let report = report.clone();
         self.reports.insert(from, LastReport { incarnation, received_at: now, report, sole_process_since });
         true
     }
 
-    /// The permits of a gateway, under a lease that expires on this clock by `expires_at`.
+    /// Grants a gateway's process its permits, under a lease that has expired on this voter's clock by `expires_at`.
+    /// `seen_epoch` is the epoch of the permits that the gateway knows.
+    ///
+    /// None is granted if no server has a budget, if the start of this voter's process is not recorded yet, if the
+    /// voter has attested in the current round that the gateway's leases have expired, or if the record has the
+    /// gateway's permits for another process.
     pub(crate) fn grant(
         &mut self,
         to: GatewayId,
@@ -142,7 +158,7 @@
             return None;
         }
         let (epoch, granted) = permits.ledger().granted(to, incarnation)?;
-        self.issued.entry(to).or_insert_with(|| Issued::new(incarnation)).renew(
+        self.issued.entry(to).or_insert_with(|| IssuedLeases::new(incarnation)).renew(
             incarnation,
             epoch,
             expires_at,
@@ -154,7 +170,7 @@
         })
     }
 
-    /// Gateways that were granted something older than what holds now, each once.
+    /// Gateways that were granted permits of an earlier epoch than the current one. Each is returned once per epoch.
     pub(crate) fn gateways_to_notify(&mut self, machine: &StateMachine) -> Vec<GatewayId> {
         let ledger = machine.permits().ledger();
         let mut gateways = vec![];
@@ -168,11 +184,14 @@
         gateways
     }
 
-    /// What this voter attests. It may have forgotten what was granted before `known_from`.
+    /// The changes that this voter proposes for itself: its start until that is recorded, then its attestations.
+    ///
+    /// An earlier process, or voters of an earlier configuration, may have granted leases that are unknown here; all of
+    /// them have expired at `unknown_expire_at`.
     pub(crate) fn attest(
         &mut self,
         now: Micros,
-        known_from: Micros,
+        unknown_expire_at: Micros,
         machine: &StateMachine,
     ) -> Vec<PermitChange> {
         let repropose_before = now.saturating_sub(self.timing.tick * REPROPOSE_TICKS);
@@ -183,40 +202,41 @@
         let permits = machine.permits();
         if !permits.is_voter_start_recorded(self.self_id, self.nonce) {
             let start = PermitChange::VoterStarted { voter: self.self_id, nonce: self.nonce };
-            return self.batch(now, [(Proposed::VoterStarted, start)]);
+            return self.batch(now, [(ProposalKey::VoterStarted, start)]);
         }
         self.expired_in_round.retain(|gateway, round| permits.attestation_round(*gateway).0 == *round);
         let mut changes = vec![];
         for gateway in permits.ledger().leaseholders() {
             let (round, _) = permits.attestation_round(gateway);
-            for attestation in self.attestations_on(now, known_from, gateway, machine) {
+            for attestation in self.attestations_about(now, unknown_expire_at, gateway, machine) {
                 if attestation == Attestation::LeasesExpired {
                     self.expired_in_round.insert(gateway, round);
                 }
                 let (voter, nonce) = (self.self_id, self.nonce);
                 let change = PermitChange::Attested { voter, nonce, gateway, round, attestation };
-                changes.push((Proposed::Attested(gateway, round, attestation), change));
+                changes.push((ProposalKey::Attested(gateway, round, attestation), change));
             }
         }
-        changes.extend(self.heard_again(now, permits.ledger()));
+        changes.extend(self.active_again(now, permits.ledger()));
         self.batch(now, changes)
     }
 
-    fn attestations_on(
+    /// What this voter can attest about a gateway now.
+    fn attestations_about(
         &self,
         now: Micros,
-        known_from: Micros,
+        unknown_expire_at: Micros,
         gateway: GatewayId,
         machine: &StateMachine,
     ) -> Vec<Attestation> {
         let ledger = machine.permits().ledger();
-        let linger = self.linger(machine);
+        let linger = self.connection_linger(machine);
         let incarnation = ledger.incarnation(gateway);
         let issued = self.issued.get(&gateway);
-        let all_expire_at = issued.map_or(0, Issued::all_expire_at);
+        let all_expire_at = issued.map_or(0, IssuedLeases::all_expire_at);
         let earlier_expire_at = issued.map_or(0, |issued| issued.expire_before(incarnation));
-        let has_expired = |expires_at: Micros| now > expires_at.max(known_from) + linger;
-        let (earlier_leased, earlier_any) = ledger.earlier_incarnations_hold(gateway);
+        let has_expired = |expires_at: Micros| now > expires_at.max(unknown_expire_at) + linger;
+        let (earlier_leased, earlier_fallback) = ledger.earlier_incarnations_hold(gateway);
         let mut attestations = vec![];
         if has_expired(all_expire_at) {
             attestations.push(Attestation::LeasesExpired);
@@ -226,101 +246,105 @@
         let report = self.reports.get(&gateway).filter(|last| Some(last.incarnation) == incarnation);
         let sole_since = report.and_then(|last| last.sole_process_since);
         let earlier_ended = sole_since.is_some_and(|since| now > since + linger);
-        if earlier_ended && (earlier_leased || earlier_any) {
+        if earlier_ended && (earlier_leased || earlier_fallback) {
             attestations.push(Attestation::EarlierProcessesEnded);
         }
         attestations
     }
 
-    /// Gateways whose leases were attested to have expired, and that are heard.
-    fn heard_again(&self, now: Micros, ledger: &PermitLedger) -> Vec<(Proposed, PermitChange)> {
-        let recently = now.saturating_sub(self.timing.lease);
-        let is_heard = |gateway: GatewayId| {
-            self.reports.get(&gateway).is_some_and(|last| last.is_current(gateway, recently, ledger))
+    /// Changes that end the rounds of gateways that reported within the last lease term, although this voter attested
+    /// that their leases had expired.
+    fn active_again(&self, now: Micros, ledger: &PermitLedger) -> Vec<(ProposalKey, PermitChange)> {
+        let active_since = now.saturating_sub(self.timing.lease);
+        let is_active = |gateway: GatewayId| {
+            self.reports.get(&gateway).is_some_and(|last| last.is_current(gateway, active_since, ledger))
         };
-        let heard = self.expired_in_round.iter().filter(|(gateway, _)| is_heard(**gateway));
-        heard
+        let active = self.expired_in_round.iter().filter(|(gateway, _)| is_active(**gateway));
+        active
             .map(|(gateway, round)| {
                 let (gateway, round) = (*gateway, *round);
                 let change = PermitChange::GatewayActiveAgain { gateway, round };
-                (Proposed::HeardAgain(gateway, round), change)
+                (ProposalKey::ActiveAgain(gateway, round), change)
             })
             .collect()
     }
 
+    /// The candidates that have not been proposed recently, at most [`MAX_CHANGES_PER_ENTRY`]; marks them as proposed.
     fn batch(
         &mut self,
         now: Micros,
-        candidates: impl IntoIterator<Item = (Proposed, PermitChange)>,
+        candidates: impl IntoIterator<Item = (ProposalKey, PermitChange)>,
     ) -> Vec<PermitChange> {
         let mut batch = ChangeBatch { now, proposed_at: &mut self.proposed_at, changes: vec![] };
-        for (proposed, change) in candidates {
-            batch.push(proposed, change);
+        for (key, change) in candidates {
+            batch.push(key, change);
         }
         batch.changes
     }
 
-    /// What the leader proposes for all voters.
+    /// The changes that only the leader proposes: those that gateways report, and the next round of allocation.
     pub(crate) fn propose_as_leader(&mut self, now: Micros, machine: &StateMachine) -> Vec<PermitChange> {
         if !machine.has_budgets() {
             self.allocation.reset_policy();
             return vec![];
         }
-        let recently = now.saturating_sub(self.timing.lease);
-        let candidates = self.reported_changes(recently, machine.permits().ledger());
+        let reported_since = now.saturating_sub(self.timing.lease);
+        let candidates = self.reported_changes(reported_since, machine.permits().ledger());
         let mut changes = self.batch(now, candidates);
-        let round = Proposed::Allocated(machine.permits().allocation_rounds());
-        if !self.proposed_at.contains_key(&round) {
+        let round_key = ProposalKey::Allocated(machine.permits().allocation_rounds());
+        if !self.proposed_at.contains_key(&round_key) {
             let reports = &self.reports;
-            if let Some(change) = self.allocation.allocate(now, recently, reports, machine) {
-                self.proposed_at.insert(round, now);
+            if let Some(change) = self.allocation.allocate(now, reported_since, reports, machine) {
+                self.proposed_at.insert(round_key, now);
                 changes.push(change);
             }
         }
         changes
     }
 
-    /// What the reports of gateways change: processes that started or left, and permits that were returned.
-    fn reported_changes(&self, recently: Micros, ledger: &PermitLedger) -> Vec<(Proposed, PermitChange)> {
+    /// Changes that follow from reports received since a time: processes that started, processes that left, and permits
+    /// that were returned, in this order.
+    fn reported_changes(&self, since: Micros, ledger: &PermitLedger) -> Vec<(ProposalKey, PermitChange)> {
         let (mut started, mut left, mut returned) = (vec![], vec![], vec![]);
-        for (gateway, last) in self.reports.iter().filter(|(_, last)| last.received_at >= recently) {
+        for (gateway, last) in self.reports.iter().filter(|(_, last)| last.received_at >= since) {
             let (gateway, incarnation) = (*gateway, last.incarnation);
             if ledger.incarnation(gateway) != Some(incarnation) {
                 if !ledger.is_superseded(gateway, incarnation) {
                     let change = PermitChange::GatewayStarted { gateway, incarnation };
-                    started.push((Proposed::GatewayStarted(gateway, incarnation), change));
+                    started.push((ProposalKey::GatewayStarted(gateway, incarnation), change));
                 }
             } else if last.report.drained {
                 let change = PermitChange::GatewayLeft { gateway, incarnation };
-                left.push((Proposed::GatewayLeft(gateway, incarnation), change));
+                left.push((ProposalKey::GatewayLeft(gateway, incarnation), change));
             } else if last.returns_permits(gateway, ledger) {
                 let (seen_epoch, open) = (last.report.seen_epoch, last.report.open_counts.clone());
                 let change = PermitChange::PermitsReturned { gateway, incarnation, seen_epoch, open };
-                returned.push((Proposed::Returned(gateway, seen_epoch), change));
+                returned.push((ProposalKey::PermitsReturned(gateway, seen_epoch), change));
             }
         }
         started.into_iter().chain(left).chain(returned).collect()
     }
 
-    /// Another voter leads, and allocates.
+    /// Resets the allocation's state when another voter becomes the leader.
     pub(crate) fn stop_leading(&mut self) {
         self.allocation.stop_leading();
     }
 
-    /// Drops gateways that are not heard of and hold no permits.
+    /// Drops the state of gateways that hold no permits by lease: reports that are older than [`STALE_LEASE_TERMS`],
+    /// and leases that have expired with their connections.
     pub(crate) fn remove_stale(&mut self, now: Micros, machine: &StateMachine) {
         let since = now.saturating_sub(STALE_LEASE_TERMS * self.timing.lease_wait);
         let holders = machine.permits().ledger().leaseholders();
         self.reports.retain(|gateway, last| last.received_at >= since || holders.contains(gateway));
-        let linger = self.linger(machine);
+        let linger = self.connection_linger(machine);
         self.issued
             .retain(|gateway, issued| holders.contains(gateway) || now <= issued.all_expire_at() + linger);
     }
 }
 
-impl Issued {
-    fn new(incarnation: u64) -> Issued {
-        Issued { incarnation, expires_at: 0, earlier_expire_at: 0, epoch: 0, notified_epoch: 0 }
+impl IssuedLeases {
+    fn new(incarnation: u64) -> IssuedLeases {
+        IssuedLeases { incarnation, expires_at: 0, earlier_expire_at: 0, epoch: 0, notified_epoch: 0 }
     }
 
     fn renew(&mut self, incarnation: u64, epoch: u64, expires_at: Micros) {
@@ -332,12 +356,12 @@
         self.epoch = epoch;
     }
 
-    /// When all leases have expired, of any incarnation.
+    /// When the last lease of any incarnation expires.
     fn all_expire_at(&self) -> Micros {
         self.expires_at.max(self.earlier_expire_at)
     }
 
-    /// When the leases of incarnations before this one have expired.
+    /// When the last lease of incarnations before this one expires.
     fn expire_before(&self, incarnation: Option<u64>) -> Micros {
         if Some(self.incarnation) == incarnation {
             self.earlier_expire_at
@@ -348,12 +372,12 @@
 }
 
 impl LastReport {
-    /// Whether it came since a time from the process that the ledger knows.
+    /// Whether the report was received since a time, from the process that the ledger has as the gateway's current one.
     fn is_current(&self, gateway: GatewayId, since: Micros, ledger: &PermitLedger) -> bool {
         self.received_at >= since && ledger.incarnation(gateway) == Some(self.incarnation)
     }
 
-    /// Whether it shows permits of the current epoch that are held and not used any more.
+    /// Whether the report, made under the gateway's current epoch, shows that permits being recalled can be freed.
     fn returns_permits(&self, gateway: GatewayId, ledger: &PermitLedger) -> bool {
         if self.report.seen_epoch < ledger.epoch(gateway) {
             return false;
--- a/crates/consensus/src/permit_issuer/allocation.rs
+++ b/crates/consensus/src/permit_issuer/allocation.rs
@@ -1,4 +1,4 @@
-//! Rounds of allocation, as the leader proposes them.
+//! The leader's rounds of allocation: from the gateways' reports to grants and recalls of permits.
 
 use super::LastReport;
 use crate::permit_state::PermitChange;
@@ -11,33 +11,34 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Moves of permits in one round.
+/// Largest number of grants and recalls in one round.
 const MAX_MOVES_PER_ROUND: usize = 4_096;
 
-/// State of the leader's allocation.
+/// State of the allocation. Only the leader uses it.
 #[derive(Default)]
 pub(super) struct Allocation {
+    /// The policy of this version; none inside if the version has no budgets.
     compiled: Option<(VersionNumber, Option<CompiledPolicy>)>,
     allocator: Allocator,
     conditions: Option<ConditionTracker>,
-    /// Minutes from midnight UTC, as far as they are known.
+    /// Minutes since midnight UTC; 0 until it is set.
     pub(super) minute_of_day: u16,
 }
 
 impl Allocation {
-    /// There are no budgets any more.
+    /// Drops the compiled policy and the conditions' state when no server has a budget any more.
     pub(super) fn reset_policy(&mut self) {
         self.conditions = None;
         self.compiled = None;
     }
 
-    /// Another voter allocates.
+    /// Drops the state that depends on earlier rounds when another voter becomes the leader.
     pub(super) fn stop_leading(&mut self) {
         self.conditions = None;
         self.allocator = Allocator::default();
     }
 
-    /// Compiles the policy of the version that is rolled out, if it has changed.
+    /// Compiles the policy of the fully rolled out version, if that is another version than last time.
     fn compile(&mut self, machine: &StateMachine) {
         let number = machine.fallback_version();
         if self.compiled.as_ref().map(|(compiled, _)| *compiled) != Some(number) {
@@ -46,11 +47,12 @@
         }
     }
 
-    /// A round of allocation by the reports received since `recently`; none if nothing changes.
+    /// Runs a round of allocation if one is due, from reports received since `reported_since`. None if there is no
+    /// policy, no round is due, or the round changes nothing.
     pub(super) fn allocate(
         &mut self,
         now: Micros,
-        recently: Micros,
+        reported_since: Micros,
         reports: &BTreeMap<GatewayId, LastReport>,
         machine: &StateMachine,
     ) -> Option<PermitChange> {
@@ -60,7 +62,8 @@
         let version = machine.version(*number)?;
         let permits = machine.permits();
         let ledger = permits.ledger();
-        let is_current = |gateway: &GatewayId, last: &LastReport| last.is_current(*gateway, recently, ledger);
+        let is_current =
+            |gateway: &GatewayId, last: &LastReport| last.is_current(*gateway, reported_since, ledger);
         let current: Vec<(GatewayId, &LastReport)> = reports
             .iter()
             .filter(|(gateway, last)| is_current(gateway, last))
@@ -68,7 +71,8 @@
             .collect();
         let conditions =
             self.conditions.get_or_insert_with(|| ConditionTracker::with_active(permits.active_conditions()));
-        conditions.observe(now, policy.policy(), &observe(&current, self.minute_of_day, policy, machine));
+        let observation = observe(&current, self.minute_of_day, policy, machine);
+        conditions.observe(now, policy.policy(), &observation);
         let active_conditions = conditions.active();
         let conditions_changed = active_conditions != *permits.active_conditions();
         let groups = &policy.policy().budgets;
@@ -79,23 +83,23 @@
         let input = AllocationInput {
             policy,
             active_conditions: &active_conditions,
-            demand: &demand(&current),
+            demand: &total_demand(&current),
             fleet: &version.rules.gateways,
             ledger,
         };
         let moves = self.allocator.allocate(now, &input, MAX_MOVES_PER_ROUND);
-        let changes = !moves.is_empty() || conditions_changed;
-        changes.then_some(PermitChange::Allocated { active_conditions, moves })
+        let has_changes = !moves.is_empty() || conditions_changed;
+        has_changes.then_some(PermitChange::Allocated { active_conditions, moves })
     }
 }
 
-/// The demand of all gateways, by group.
-fn demand(reports: &[(GatewayId, &LastReport)]) -> DemandByGroup {
+/// The demand that gateways report, by group of servers.
+fn total_demand(reports: &[(GatewayId, &LastReport)]) -> DemandByGroup {
     let mut demand = DemandByGroup::new();
     for (gateway, last) in reports {
-        for (group, tenant, wanted) in &last.report.demand {
-            let group = demand.entry(group.clone()).or_default();
-            group.by_tenant.entry(tenant.clone()).or_default().insert(*gateway, *wanted);
+        for (group, tenant, tenant_demand) in &last.report.demand {
+            let group_demand = demand.entry(group.clone()).or_default();
+            group_demand.by_tenant.entry(tenant.clone()).or_default().insert(*gateway, *tenant_demand);
         }
         for (group, peak) in &last.report.group_peaks {
             demand.entry(group.clone()).or_default().by_gateway.insert(*gateway, *peak);
@@ -104,18 +108,19 @@
     demand
 }
 
-/// What conditions depend on: zones that more than half of the gateways report as unavailable, use of each budget.
+/// The state that conditions depend on: zones that more than half of the reporting gateways cannot reach, the usage of
+/// each budget, and the time of day.
 fn observe(
     reports: &[(GatewayId, &LastReport)],
     minute_of_day: u16,
     policy: &CompiledPolicy,
     machine: &StateMachine,
 ) -> Observation {
-    let mut reported: BTreeMap<&String, usize> = BTreeMap::new();
+    let mut unavailable_counts: BTreeMap<&String, usize> = BTreeMap::new();
     for zone in reports.iter().flat_map(|(_, last)| &last.report.unavailable_zones) {
-        *reported.entry(zone).or_default() += 1;
+        *unavailable_counts.entry(zone).or_default() += 1;
     }
-    let by_majority = reported.into_iter().filter(|(_, count)| count * 2 > reports.len());
+    let by_majority = unavailable_counts.into_iter().filter(|(_, count)| count * 2 > reports.len());
     let unavailable_zones: BTreeSet<String> = by_majority.map(|(zone, _)| zone.clone()).collect();
     let groups = policy.policy().budgets.keys();
     let usage_percent =
@@ -123,7 +128,7 @@
     Observation { unavailable_zones, quorum_reachable: true, usage_percent, minute_of_day }
 }
 
-/// How much of a group's connections is held, per cent; none if it has no connections.
+/// The percentage of a group's connections for which permits are held; none if the group's capacity is 0.
 fn usage_percent(group: &str, policy: &CompiledPolicy, machine: &StateMachine) -> Option<u8> {
     let ledger = machine.permits().ledger();
     let scopes = || policy.servers(group).iter().map(|server| BudgetScope::server(server));
