--- a/crates/consensus/src/effective_rules.rs
+++ b/crates/consensus/src/effective_rules.rs
@@ -1,39 +1,41 @@
-//! What a gateway may do under a version, under fallback rules, or while several versions may be in force; and where two
-//! of these conflict.
+//! What a gateway may do under a version, under fallback rules, or while several versions may be in force, and where
+//! two sets of rules conflict.
 
 use crate::ruleset::{Class, FieldError, GatewayId, Rules, Server, ServerState};
 use crate::version::Version;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one gateway admits for a tenant.
+/// The limits up to which one gateway admits requests of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantLimits {
-    /// The classes of requests it may send.
+    /// The classes of requests that the tenant may send.
     pub classes: BTreeSet<String>,
-    /// This gateway's share of the quota, thousandths of a unit per second.
+    /// This gateway's share of the tenant's quota, thousandths of a unit per second.
     pub rate_milli: u64,
-    /// Its share of the ceiling (of the quota where there is none), thousandths of a unit per second.
+    /// This gateway's share of the ceiling (of the quota where the plan has no ceiling), thousandths of a unit per
+    /// second.
     pub ceiling_milli: u64,
 }
 
-/// What one gateway may do.
+/// What one gateway may do: which requests it may admit, and to which servers it may send them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EffectiveRules {
-    /// Classes of requests, by name.
+    /// The classes of requests that are served, by name.
     pub classes: BTreeMap<String, Class>,
-    /// Limits of tenants, by name.
+    /// The limits of each tenant that is served, by name.
     pub tenants: BTreeMap<String, TenantLimits>,
-    /// Addresses of servers that may get new work, by name.
+    /// The addresses of servers that may be sent new work, by name.
     pub servers: BTreeMap<String, String>,
-    /// Whether only servers count whose own response said a short while ago that they take new work.
+    /// Whether only those servers may be used that reported recently, in a response of their own, that they take new
+    /// work.
     pub confirmed_only: bool,
-    /// Servers that accept connections only with permits, and whether that limits anything: see
+    /// The servers to which connections need permits, by name, and whether the budget limits them: see
     /// [`Rules::budgeted_servers`](crate::Rules::budgeted_servers).
     pub budgeted: BTreeMap<String, bool>,
 }
 
 impl Rules {
-    /// What a gateway may do under these rules: nothing if it is not in the fleet.
+    /// What a gateway may do under these rules while they are in force: nothing if it is not in the fleet.
     pub fn effective_rules(&self, gateway: GatewayId) -> EffectiveRules {
         if !self.gateways.contains(&gateway) {
             return EffectiveRules::default();
@@ -62,8 +64,9 @@
         ready.map(|(name, server)| (name.clone(), server.address.clone())).collect()
     }
 
-    /// What a gateway may do without a lease, when these are the last rules it knows to have been in force: each
-    /// tenant's floor, in the classes served under fallback rules, at servers that said so themselves.
+    /// What a gateway may do without a lease, if these are the rules of its fallback version: it serves each tenant up
+    /// to its floor, in the classes that are served under fallback rules, at servers that confirmed that they take new
+    /// work.
     pub fn fallback_rules(&self, gateway: GatewayId) -> EffectiveRules {
         if !self.gateways.contains(&gateway) {
             return EffectiveRules::default();
@@ -92,85 +95,85 @@
 }
 
 impl EffectiveRules {
-    /// What both allow.
+    /// What both this and `other` allow: the classes, tenants and servers in both, each with the stricter limits.
     #[must_use]
     pub fn intersect(&self, other: &EffectiveRules) -> EffectiveRules {
         let mut both = self.clone();
         both.classes.retain(|name, class| {
-            let Some(theirs) = other.classes.get(name) else { return false };
-            class.cost_milli = class.cost_milli.max(theirs.cost_milli);
-            class.repeatable &= theirs.repeatable;
-            class.on_fallback &= theirs.on_fallback;
+            let Some(other_class) = other.classes.get(name) else { return false };
+            class.cost_milli = class.cost_milli.max(other_class.cost_milli);
+            class.repeatable &= other_class.repeatable;
+            class.on_fallback &= other_class.on_fallback;
             true
         });
         both.tenants.retain(|name, limits| {
-            let Some(theirs) = other.tenants.get(name) else { return false };
-            limits.classes.retain(|class| theirs.classes.contains(class));
-            limits.rate_milli = limits.rate_milli.min(theirs.rate_milli);
-            limits.ceiling_milli = limits.ceiling_milli.min(theirs.ceiling_milli);
+            let Some(other_limits) = other.tenants.get(name) else { return false };
+            limits.classes.retain(|class| other_limits.classes.contains(class));
+            limits.rate_milli = limits.rate_milli.min(other_limits.rate_milli);
+            limits.ceiling_milli = limits.ceiling_milli.min(other_limits.ceiling_milli);
             true
         });
         both.servers.retain(|name, address| other.servers.get(name) == Some(address));
         both.confirmed_only |= other.confirmed_only;
-        for (server, limits) in &other.budgeted {
-            *both.budgeted.entry(server.clone()).or_default() |= limits;
+        for (server, is_limited) in &other.budgeted {
+            *both.budgeted.entry(server.clone()).or_default() |= is_limited;
         }
         both
     }
 
-    /// Where this allows what `law` forbids: each place, with what is narrower under `law`.
-    pub fn violations_of(&self, law: &EffectiveRules) -> Vec<FieldError> {
+    /// The places at which this allows something that `allowed` does not, each with what is stricter under `allowed`.
+    pub fn violations_of(&self, allowed: &EffectiveRules) -> Vec<FieldError> {
         let mut violations = vec![];
-        self.class_violations(law, &mut violations);
-        self.tenant_violations(law, &mut violations);
-        self.server_violations(law, &mut violations);
+        self.class_violations(allowed, &mut violations);
+        self.tenant_violations(allowed, &mut violations);
+        self.server_violations(allowed, &mut violations);
         violations
     }
 
-    fn class_violations(&self, law: &EffectiveRules, violations: &mut Vec<FieldError>) {
+    fn class_violations(&self, allowed: &EffectiveRules, violations: &mut Vec<FieldError>) {
         for (name, class) in &self.classes {
-            let Some(theirs) = law.classes.get(name) else {
+            let Some(allowed_class) = allowed.classes.get(name) else {
                 violations.push(FieldError::new(format!("classes.{name}"), "is not served under the other"));
                 continue;
             };
-            if class.cost_milli < theirs.cost_milli {
+            if class.cost_milli < allowed_class.cost_milli {
                 let path = format!("classes.{name}.cost_milli");
                 violations.push(FieldError::new(path, "counts for more under the other"));
             }
-            if class.repeatable && !theirs.repeatable {
+            if class.repeatable && !allowed_class.repeatable {
                 let path = format!("classes.{name}.repeatable");
                 violations.push(FieldError::new(path, "may not be repeated under the other"));
             }
         }
     }
 
-    fn tenant_violations(&self, law: &EffectiveRules, violations: &mut Vec<FieldError>) {
+    fn tenant_violations(&self, allowed: &EffectiveRules, violations: &mut Vec<FieldError>) {
         for (name, limits) in &self.tenants {
-            let Some(theirs) = law.tenants.get(name) else {
+            let Some(allowed_limits) = allowed.tenants.get(name) else {
                 violations.push(FieldError::new(format!("tenants.{name}"), "is unknown to the other"));
                 continue;
             };
-            for class in limits.classes.difference(&theirs.classes) {
+            for class in limits.classes.difference(&allowed_limits.classes) {
                 let path = format!("tenants.{name}.classes.{class}");
                 violations.push(FieldError::new(path, "is not for this tenant under the other"));
             }
             let smaller_share = "a gateway's part is less under the other";
-            if limits.rate_milli > theirs.rate_milli {
+            if limits.rate_milli > allowed_limits.rate_milli {
                 violations.push(FieldError::new(format!("tenants.{name}.rate"), smaller_share));
             }
-            if limits.ceiling_milli > theirs.ceiling_milli {
+            if limits.ceiling_milli > allowed_limits.ceiling_milli {
                 violations.push(FieldError::new(format!("tenants.{name}.sum"), smaller_share));
             }
         }
     }
 
-    fn server_violations(&self, law: &EffectiveRules, violations: &mut Vec<FieldError>) {
+    fn server_violations(&self, allowed: &EffectiveRules, violations: &mut Vec<FieldError>) {
         for (name, address) in &self.servers {
-            if law.servers.get(name) != Some(address) {
+            if allowed.servers.get(name) != Some(address) {
                 let reason = "gets nothing new under the other";
                 violations.push(FieldError::new(format!("servers.{name}"), reason));
             }
-            if !self.budgeted.contains_key(name) && law.budgeted.get(name) == Some(&true) {
+            if !self.budgeted.contains_key(name) && allowed.budgeted.get(name) == Some(&true) {
                 let reason = "takes connections only for slots under the other";
                 violations.push(FieldError::new(format!("servers.{name}.budget"), reason));
             }
@@ -178,38 +181,40 @@
     }
 }
 
-/// Where two sets of rules conflict: a request (of a tenant, in a class, retried or not, through a gateway), a server,
-/// or a sum that one allows and the other forbids. Sums are kept in even shares, so two sets of rules whose shares
-/// differ conflict even where the sums are the same. Empty if they do not.
+/// The places at which two sets of rules conflict; empty if they do not.
 ///
-/// Not compared: author, reason, time, and fallback rules (see [`fallback_violations`]).
+/// They conflict where one allows, and the other forbids, a request (of a tenant, in a class, retried or not, through a
+/// gateway), a server, or a sum of admitted work. Each gateway keeps to an equal share of a sum, so two sets of rules
+/// conflict if the shares differ, even where the sums are the same.
+///
+/// Fallback rules are not compared: see [`fallback_violations`].
 pub fn find_conflicts(a: &Rules, b: &Rules) -> Vec<FieldError> {
     let in_one_only = a.gateways.symmetric_difference(&b.gateways);
     let reason = "is of the fleet under one of them only";
     let mut conflicts: Vec<FieldError> =
         in_one_only.map(|gateway| FieldError::new(format!("gateways.{gateway}"), reason)).collect();
-    // Shares are equal for all gateways of a fleet: one of each represents all.
-    if let (Some(x), Some(y)) = (a.gateways.first(), b.gateways.first()) {
-        let (x, y) = (a.effective_rules(*x), b.effective_rules(*y));
-        conflicts.extend(x.violations_of(&y));
-        conflicts.extend(y.violations_of(&x));
+    // All gateways of a fleet have the same effective rules: the first gateway of each fleet represents the others.
+    if let (Some(a_gateway), Some(b_gateway)) = (a.gateways.first(), b.gateways.first()) {
+        let (a_rules, b_rules) = (a.effective_rules(*a_gateway), b.effective_rules(*b_gateway));
+        conflicts.extend(a_rules.violations_of(&b_rules));
+        conflicts.extend(b_rules.violations_of(&a_rules));
     }
     conflicts.sort();
     conflicts.dedup();
     conflicts
 }
 
-/// Where `new` forbids what a gateway may still do under the fallback rules of `old`. Empty if `new` may follow while
-/// gateways use them.
-///
-/// A server that gets a budget breaks the fallback rules of those who open connections there without permits: a budget
-/// of [`MAX_CONNECTIONS`](frostgauge_connection_budget::MAX_CONNECTIONS) comes first, which forbids nothing and makes
-/// all ask for permits.
+/// The places at which `new` forbids what a gateway may still do under the fallback rules of `old`; empty if `new` may
+/// come into force while gateways use those.
 ///
-/// A server that goes from ready to draining breaks nothing: a draining server says so in its responses, and under
-/// fallback rules only those count. One that vanishes, or moves, without having drained first does. A floor may not be
-/// over a gateway's share under `new`: so floors of those under fallback rules and shares of the others stay within the
-/// sum.
+/// - A server that is given a budget is such a place if gateways may open connections to it without permits. So a
+///   budget of [`MAX_CONNECTIONS`](frostgauge_connection_budget::MAX_CONNECTIONS) has to come first: it forbids nothing,
+///   and makes all gateways use permits.
+/// - A server that changes from ready to draining is not: a draining server reports that in its responses, and under
+///   fallback rules only servers are used that confirmed that they take new work. A server that is removed, or changes
+///   its address, without draining first is such a place.
+/// - A tenant's floor under `old` may not exceed a gateway's share under `new`. So the floors at gateways under
+///   fallback rules and the shares of the other gateways together stay within the tenant's ceiling.
 pub fn fallback_violations(old: &Rules, new: &Rules) -> Vec<FieldError> {
     let mut violations = vec![];
     for gateway in old.gateways.difference(&new.gateways) {
@@ -218,15 +223,15 @@
     }
     let Some(gateway) = old.gateways.first() else { return violations };
     let first = new.gateways.first();
-    let law = first.map_or_else(EffectiveRules::default, |gateway| new.effective_rules(*gateway));
-    let exceeding = old.fallback_rules(*gateway).violations_of(&law);
+    let allowed = first.map_or_else(EffectiveRules::default, |gateway| new.effective_rules(*gateway));
+    let exceeding = old.fallback_rules(*gateway).violations_of(&allowed);
     violations.extend(exceeding.into_iter().filter(|violation| !begins_draining(&violation.path, old, new)));
     violations.sort();
     violations.dedup();
     violations
 }
 
-/// Whether the path names a server that only begins to drain.
+/// Whether the path is that of a server whose only change is that it drains under `new`: its address is the same.
 fn begins_draining(path: &str, old: &Rules, new: &Rules) -> bool {
     let Some(name) = path.strip_prefix("servers.") else { return false };
     let old_address = old.servers.get(name).map(|server| &server.address);
@@ -235,7 +240,8 @@
     new.servers.get(name).is_some_and(drains_in_place)
 }
 
-/// What a gateway may do while each of these versions may be in force; nothing if there is none.
+/// What a gateway may do while any of these versions may be in force, which is what all of them allow; nothing if there
+/// are no versions.
 pub fn intersect_all<'a>(
     gateway: GatewayId,
     versions: impl IntoIterator<Item = &'a Version>,
--- a/crates/consensus/src/ruleset.rs
+++ b/crates/consensus/src/ruleset.rs
@@ -1,4 +1,4 @@
-//! The rules of a fleet: classes, plans, tenants, servers, gateways and connection budgets.
+//! The rules of a fleet of gateways: classes, plans, tenants, servers, gateways and connection budgets.
 
 mod validation;
 
@@ -8,9 +8,9 @@
 
 pub use validation::{FieldError, FieldErrors};
 
-/// A gateway's number in the fleet.
+/// The number that identifies a gateway in the fleet.
 pub type GatewayId = u16;
-/// The format of [`Rules`] that this program writes and reads.
+/// The number of the format of [`Rules`] that this program writes and reads; rules of any other are invalid.
 pub const RULES_FORMAT: u16 = 2;
 
 /// A class of requests.
@@ -19,32 +19,33 @@
 pub struct Class {
     /// The cost of a request, thousandths of a unit.
     pub cost_milli: u64,
-    /// Whether a request may be retried.
+    /// Whether a failed request of the class may be retried.
     pub repeatable: bool,
-    /// Whether it is served under fallback rules too.
+    /// Whether requests of the class are also served under fallback rules.
     #[serde(rename = "ground")]
     pub on_fallback: bool,
 }
 
-/// What a tenant has paid for.
+/// The limits of the tenants that have this plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The quota of a tenant over the whole fleet, thousandths of a unit per second.
+    /// The quota of each tenant over the whole fleet, thousandths of a unit per second.
     pub rate_milli: u64,
-    /// The hard ceiling over the whole fleet, thousandths of a unit per second; none: the quota.
+    /// The hard ceiling of each tenant over the whole fleet, thousandths of a unit per second; none: the quota is the
+    /// ceiling.
     pub ceiling_milli: Option<u64>,
 }
 
-/// A tenant.
+/// A tenant: its plan, and what it may send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// The name of its plan.
+    /// The name of the tenant's plan.
     pub plan: String,
-    /// The classes of requests it may send.
+    /// The names of the classes of requests that the tenant may send.
     pub classes: BTreeSet<String>,
-    /// What each gateway may admit for it under fallback rules, thousandths of a unit per second.
+    /// What each gateway may admit for the tenant under fallback rules, thousandths of a unit per second.
     pub floor_milli: u64,
 }
 
@@ -53,19 +54,19 @@
 pub enum ServerState {
     /// It takes new work.
     Ready,
-    /// It takes no new work, and says so itself in each of its responses.
+    /// It takes no new work, and reports that in each of its responses.
     Draining,
 }
 
-/// A server.
+/// A server: where it is, and whether it takes new work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its address and port.
+    /// The IP address and port, as `ADDRESS:PORT`.
     pub address: String,
-    /// Whether it takes new work.
+    /// Whether the server takes new work.
     pub state: ServerState,
-    /// Its zone; empty: that of the gateway's own list, or the first.
+    /// The server's zone; empty: the one in the gateway's own list of servers, or the first zone.
     #[serde(default)]
     pub zone: String,
 }
@@ -74,70 +75,72 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// [`RULES_FORMAT`].
+    /// The format of these rules: [`RULES_FORMAT`].
     pub format: u16,
-    /// Classes of requests, by name.
+    /// The classes of requests, by name.
     pub classes: BTreeMap<String, Class>,
-    /// Plans, by name.
+    /// The plans, by name.
     pub plans: BTreeMap<String, Plan>,
-    /// Tenants, by name.
+    /// The tenants, by name.
     pub tenants: BTreeMap<String, Tenant>,
-    /// Servers, by name.
+    /// The servers, by name.
     pub servers: BTreeMap<String, Server>,
     /// The gateways of the fleet.
     pub gateways: BTreeSet<GatewayId>,
-    /// How many connections servers accept, and how they are shared; empty: no server has a budget.
+    /// How many connections servers accept, and how gateways and tenants share them; empty: no server has a budget.
     #[serde(default)]
     pub budgets: Policy,
 }
 
 impl Rules {
-    /// The ceiling of a tenant over the whole fleet; its quota where its plan has no ceiling.
+    /// The ceiling of a tenant over the whole fleet, thousandths of a unit per second: the quota where the plan has no
+    /// ceiling, 0 where there is no such plan.
     pub(crate) fn ceiling_milli(&self, tenant: &Tenant) -> u64 {
         self.plans.get(&tenant.plan).map_or(0, |p| p.ceiling_milli.unwrap_or(p.rate_milli))
     }
 
-    /// A hash of the rules, the same wherever they are read: the seed by which a fleet that is bootstrapped with them
-    /// draws its canaries.
+    /// A hash of the rules, the same on every gateway. A fleet that is bootstrapped with these rules uses it as the
+    /// seed of the choice of canaries.
     pub fn seed(&self) -> u64 {
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         let hash = blake3::hash(&bytes);
         u64::from_be_bytes(hash.as_bytes()[..8].try_into().unwrap_or_default())
     }
 
-    /// What the policy of budgets applies to.
+    /// The tenants, classes and servers that the policy of connection budgets refers to.
     fn inventory(&self) -> Inventory {
         Inventory {
-            tenants: self.tenants.iter().map(|(n, t)| (n.clone(), t.plan.clone())).collect(),
+            tenants: self.tenants.iter().map(|(name, tenant)| (name.clone(), tenant.plan.clone())).collect(),
             classes: self.classes.keys().cloned().collect(),
-            servers: self.servers.iter().map(|(n, s)| (n.clone(), s.zone.clone())).collect(),
+            servers: self.servers.iter().map(|(name, server)| (name.clone(), server.zone.clone())).collect(),
         }
     }
 
-    /// The compiled policy of budgets; none if there is none, or if the rules are invalid.
+    /// The compiled policy of connection budgets; none if no server has a budget, or if the policy is invalid.
     pub fn compiled_budgets(&self) -> Option<CompiledPolicy> {
-        let some = !self.budgets.budgets.is_empty();
-        some.then(|| CompiledPolicy::new(self.budgets.clone(), &self.inventory()).ok()).flatten()
+        let has_budgets = !self.budgets.budgets.is_empty();
+        has_budgets.then(|| CompiledPolicy::new(self.budgets.clone(), &self.inventory()).ok()).flatten()
     }
 
-    /// How many connections a server accepts from the fleet; none: it has no budget.
+    /// How many connections a server accepts from the whole fleet; none if the server has no budget or is unknown.
     pub fn connection_budget(&self, server: &str) -> Option<u32> {
         let zone = &self.servers.get(server)?.zone;
-        self.budgets.budget_of(zone).map(|(_, b)| b.connections)
+        self.budgets.budget_of(zone).map(|(_, budget)| budget.connections)
     }
 
-    /// Servers with a budget, and whether it limits anything: one of [`MAX_CONNECTIONS`] does not, and is how a fleet
-    /// learns that a server is to have one.
+    /// The servers with a budget, by name, and whether the budget limits them. A budget of [`MAX_CONNECTIONS`] does
+    /// not: it is published before a smaller one, so that all gateways already use permits when that limits the server.
     pub fn budgeted_servers(&self) -> BTreeMap<String, bool> {
         if self.budgets.budgets.is_empty() {
             return BTreeMap::new();
         }
-        let all = self.servers.keys().filter_map(|name| Some((name, self.connection_budget(name)?)));
-        all.map(|(name, n)| (name.clone(), n < MAX_CONNECTIONS)).collect()
+        let budgeted = self.servers.keys().filter_map(|name| Some((name, self.connection_budget(name)?)));
+        budgeted.map(|(name, connections)| (name.clone(), connections < MAX_CONNECTIONS)).collect()
     }
 }
 
-/// Paths at which two sets of rules differ, for a client whose proposal was overtaken.
+/// The paths at which two sets of rules differ, such as `tenants.sul`. They are reported to a client that made its
+/// proposal from an outdated version. The format is not compared.
 pub fn changed_paths(a: &Rules, b: &Rules) -> Vec<String> {
     let mut paths = vec![];
     paths.extend(changed_keys("classes", &a.classes, &b.classes));
--- a/crates/consensus/src/ruleset/validation.rs
+++ b/crates/consensus/src/ruleset/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of rules, before a version of them gets a number.
+//! Validation of rules. Only valid rules become a version.
 
 use super::{Rules, RULES_FORMAT};
 use frostgauge_connection_budget::{CompiledPolicy, Policy};
@@ -7,17 +7,17 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Largest number of classes, plans, tenants, servers and gateways, each.
+/// Largest number of entries in each of classes, plans, tenants, servers and gateways.
 const MAX_ENTRIES: usize = 10_000;
-/// Largest length of a name, bytes.
+/// Largest length of the name of a class, plan, tenant or server, bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// What is wrong at one place of rules or settings, or where two sets of rules conflict.
+/// An error at one place of rules or settings, or a place at which two sets of rules conflict.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FieldError {
     /// The place, such as `tenants.sul.floor_milli`.
     pub path: String,
-    /// What is wrong, for people.
+    /// What is wrong there, as text for people: it follows the path in messages.
     pub reason: String,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Everything that is wrong with a set of rules or settings.
+/// All errors in a set of rules or settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", join(.0))]
 pub struct FieldErrors(pub Vec<FieldError>);
@@ -44,7 +44,8 @@
 }
 
 impl Rules {
-    /// Everything that is wrong with these rules by themselves; empty if a version of them may get a number.
+    /// All errors in these rules, empty if they are valid. Other versions are not considered. The connection budgets
+    /// are checked only once the rest is valid.
     pub fn validate(&self) -> Vec<FieldError> {
         let mut errors = vec![];
         self.validate_sizes(&mut errors);
@@ -145,11 +146,11 @@
             return;
         }
         if let Err(invalid) = CompiledPolicy::new(self.budgets.clone(), &self.inventory()) {
-            let within = |path: &str| format!("budgets.{path}");
+            let full_path = |path: &str| format!("budgets.{path}");
             errors.extend(
                 invalid
                     .into_iter()
-                    .map(|error| FieldError::new(within(&error.path), error.reason.to_string())),
+                    .map(|error| FieldError::new(full_path(&error.path), error.reason.to_string())),
             );
         }
     }
