--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,8 +1,8 @@
-//! A follower: what its gateway may do now. Every gateway has one, voters too.
+//! A follower: it decides under which rules its gateway may act now. Every gateway has one, voters too.
 //!
-//! It requests leases from all voters alike, and acts under a version for as long as a majority of them has granted it,
-//! counted from the time its own request was sent. Without that it acts under the fallback rules of the version that it
-//! has stored.
+//! It requests leases from all voters. It acts under a version while a majority of them has granted it an unexpired
+//! lease on that version; the term is counted from when the follower sent the request. Without such a majority it acts
+//! under the fallback rules of the newest fully rolled out version that it has received.
 
 use crate::effective_rules::{find_conflicts, intersect_all, EffectiveRules};
 use crate::message::{decode_versions, LeaseRequest, LeaseResponse, Message};
@@ -15,39 +15,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Requests whose responses may still come.
+/// Largest number of requests to which responses are still accepted.
 const MAX_REQUESTS_IN_FLIGHT: usize = 64;
-/// Versions known at a time.
+/// Largest number of versions that are kept, unless more are in use.
 const MAX_KNOWN_VERSIONS: usize = 16;
-/// Configurations whose leases may be unexpired: the present one and the one before.
+/// Configurations whose leases may be unexpired: the current one and the preceding one.
 const MAX_CONFIGURATIONS: usize = 2;
-/// Share of the request interval that is drawn at random.
+/// Each request interval is shortened by a random time of at most the interval divided by this.
 const JITTER_DIVISOR: u64 = 8;
 
 /// A lease that one voter granted.
 #[derive(Clone, Debug)]
 struct Lease {
+    /// The configuration that the voter was in.
     configuration: u32,
+    /// The request that it was granted to.
     sequence: u64,
+    /// The lease allows what all of these versions allow.
     versions: BTreeSet<VersionNumber>,
     expires_at: Micros,
 }
 
-/// A promise to the voters: leases of earlier requests are used only within these versions too.
+/// A promise to the voters: leases granted to earlier requests are used only for what these versions allow too.
 #[derive(Clone, Debug)]
 struct Narrowing {
     since: Micros,
-    /// The first request that it does not apply to.
+    /// The first request that the narrowing does not apply to.
     before_sequence: u64,
     versions: BTreeSet<VersionNumber>,
 }
 
-/// What a gateway acts under.
+/// The source of the rules that a gateway acts under.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RuleSource {
-    /// A lease on what all of these versions allow, until a time.
+    /// A lease on what all of these versions allow, and when it expires.
     Lease(BTreeSet<VersionNumber>, Micros),
-    /// The fallback rules of a version; none: it has never known one.
+    /// The fallback rules of a version; none if the gateway has never received one, and may do nothing.
     Fallback(Option<VersionNumber>),
 }
 
@@ -64,13 +67,14 @@
 /// Counters of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerStats {
-    /// Requests sent, each to all voters.
+    /// Requests sent; one to all voters counts once.
     pub requests_sent: u64,
-    /// Responses that brought a lease.
+    /// Responses that granted a lease.
     pub leases_received: u64,
-    /// Messages of no use: to another incarnation, to no request, late, or from a gateway that does not vote.
+    /// Messages that were ignored: responses to another incarnation or to no request in flight, leases and
+    /// notifications from gateways that do not vote, and messages that are not for followers.
     pub unrecognized: u64,
-    /// Versions rejected: unreadable, invalid, or different from one known under the same number.
+    /// Versions rejected: they could not be decoded, were invalid, or did not match the versions known before.
     pub versions_rejected: u64,
 }
 
@@ -79,21 +83,26 @@
 pub struct Follower {
     self_id: GatewayId,
     timing: Timing,
+    /// A random number that identifies this process.
     incarnation: u64,
+    /// The number of the last request.
     sequence: u64,
     /// When the requests in flight were sent, by sequence.
     sent_at: BTreeMap<u64, Micros>,
-    /// Voters by number of the configuration.
+    /// The voters of each configuration, by its number; 0 for those that the follower is started with.
     configurations: BTreeMap<u32, BTreeSet<GatewayId>>,
+    /// The last lease of each voter.
     leases: BTreeMap<GatewayId, Lease>,
     narrowing: Option<Narrowing>,
     known_versions: BTreeMap<VersionNumber, Version>,
+    /// The newest fully rolled out version that is known.
     fallback_version: Option<VersionNumber>,
-    /// The fallback version that is stored.
-    stored: Option<VersionNumber>,
-    next_request: Micros,
+    /// The version that is stored as the fallback.
+    stored_version: Option<VersionNumber>,
+    next_request_at: Micros,
+    /// A version, and whether the gateway is healthy under it.
     canary_report: Option<(VersionNumber, bool)>,
-    /// What its gateway has open and has demand for; none: it takes no permits.
+    /// The gateway's open connections and its demand; none until it is reported.
     permit_report: Option<GatewayReport>,
     received_grants: Arc<ReceivedGrants>,
     rng: ChaCha8Rng,
@@ -102,8 +111,10 @@
 }
 
 impl Follower {
-    /// Starts. `incarnation`: drawn anew by each process, not from a clock, which could step back. `stored`: the
-    /// version that it stored as its fallback before.
+    /// Creates the follower of a process that starts now.
+    ///
+    /// `incarnation` must be a new random number in each process; a time would not do, since clocks can step back.
+    /// `stored` is the version that an earlier process stored as its fallback, and `seed` is that of the random delays.
     pub fn new(
         now: Micros,
         self_id: GatewayId,
@@ -126,9 +137,9 @@
             narrowing: None,
             known_versions: stored.into_iter().map(|version| (version.number, version)).collect(),
             fallback_version: number,
-            stored: number,
-            // All gateways may start at once.
-            next_request: now + rng.random_range(0..=timing.jitter),
+            stored_version: number,
+            // A random delay, since all gateways may start at the same time.
+            next_request_at: now + rng.random_range(0..=timing.jitter),
             canary_report: None,
             permit_report: None,
             received_grants: Arc::default(),
@@ -138,75 +149,76 @@
         }
     }
 
-    /// Its counters.
+    /// The follower's counters.
     pub fn stats(&self) -> FollowerStats {
         self.stats
     }
 
-    /// A version that it knows.
+    /// The version with this number, if it is known.
     pub fn version(&self, number: VersionNumber) -> Option<&Version> {
         self.known_versions.get(&number)
     }
 
-    /// The newest version that it knows.
+    /// The number of the newest known version, which need not be in force.
     pub fn newest_known(&self) -> Option<VersionNumber> {
         self.known_versions.keys().next_back().copied()
     }
 
-    /// The fallback version that is not stored yet: to be stored, then reported by [`Follower::mark_stored`].
+    /// The fallback version, if it is not stored yet. The caller stores it, and then calls [`Follower::mark_stored`].
     pub fn version_to_store(&self) -> Option<&Version> {
-        let unstored = self.fallback_version.filter(|number| self.stored != Some(*number));
+        let unstored = self.fallback_version.filter(|number| self.stored_version != Some(*number));
         unstored.and_then(|number| self.known_versions.get(&number))
     }
 
-    /// A version is stored: from now on the voters may rely on it.
+    /// Records that a version is stored as the fallback. The following requests report it to the voters, which may then
+    /// drop earlier versions.
     pub fn mark_stored(&mut self, number: VersionNumber) {
-        self.stored = Some(number);
+        self.stored_version = Some(number);
     }
 
-    /// Sets whether this gateway is healthy under a version, for the voters if it is a canary.
+    /// Sets whether this gateway is healthy under a version. The voters use that if it is a canary.
     pub fn report_canary(&mut self, version: VersionNumber, healthy: bool) {
         self.canary_report = Some((version, healthy));
     }
 
-    /// Sets what its gateway has open and has demand for: sent with each request from now on.
+    /// Sets the gateway's open connections and its demand, which the following requests report.
     pub fn report_permits(&mut self, report: GatewayReport) {
         self.permit_report = Some(report);
     }
 
-    /// Sends a request at the next [`Follower::advance`].
+    /// Makes the next [`Follower::advance`] send a request.
     pub fn request_now(&mut self, now: Micros) {
-        self.next_request = self.next_request.min(now);
+        self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// The permits that voters have granted its gateway.
+    /// The connection permits that voters have granted to the gateway.
     pub fn received_grants(&self) -> &Arc<ReceivedGrants> {
         &self.received_grants
     }
 
-    /// When [`Follower::advance`] is due.
+    /// When [`Follower::advance`] is next due.
     pub fn next_wake(&self) -> Micros {
-        self.next_request
+        self.next_request_at
     }
 
-    /// The version whose fallback rules it uses without a lease; none: it has never known one.
+    /// The version whose fallback rules apply without a lease; none if the follower has never received one.
     pub fn fallback_version(&self) -> Option<VersionNumber> {
         self.fallback_version
     }
 
-    /// The voters, as it last heard of them.
+    /// The voters of the newest configuration that the follower knows.
     pub fn voters(&self) -> BTreeSet<GatewayId> {
         self.configurations.values().next_back().cloned().unwrap_or_default()
     }
 
-    /// Requests leases, if it is time.
+    /// Requests leases from all voters if a request is due.
     pub fn advance(&mut self, now: Micros) {
-        if now < self.next_request {
+        if now < self.next_request_at {
             return;
         }
-        // Jitter keeps those that once requested together from doing so for ever.
+        // Jitter spreads out followers that have sent a request at the same time.
         let interval = self.timing.request_interval;
-        self.next_request = now + interval - self.rng.random_range(0..=interval / JITTER_DIVISOR);
+        self.next_request_at = now + interval - self.rng.random_range(0..=interval / JITTER_DIVISOR);
         self.sequence += 1;
         self.stats.requests_sent += 1;
         self.sent_at.insert(self.sequence, now);
@@ -224,7 +236,7 @@
             self.sent_at.pop_first();
         }
         self.leases.retain(|_, lease| lease.expires_at > now);
-        // What was granted before it has expired: it restricts nothing any more.
+        // A narrowing restricts leases granted before it: after a lease term all of these have expired.
         let lease_term = self.timing.lease;
         self.narrowing = self.narrowing.take().filter(|narrowing| narrowing.since + lease_term > now);
     }
@@ -235,25 +247,25 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             narrowed: narrowing.map(|n| (n.before_sequence, n.versions.clone())),
-            fallback_version: self.stored.unwrap_or(0),
+            fallback_version: self.stored_version.unwrap_or(0),
             known_versions: self.known_versions.keys().copied().collect(),
             canary_report: self.canary_report,
             permits: self.permit_report.clone(),
         }
     }
 
-    /// Messages to be sent, with their receivers.
+    /// Takes the messages to be sent, each with its receiver.
     pub fn take_outgoing(&mut self) -> Vec<(GatewayId, Message)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Takes a message from a gateway whose identity the peer connection has authenticated.
+    /// Handles a message from a gateway whose identity the peer connection has authenticated.
     pub fn handle(&mut self, now: Micros, from: GatewayId, message: Message) {
         match message {
             Message::LeaseResponse(response) => self.handle_response(now, from, &response),
             Message::RecordChanged if self.voters().contains(&from) => {
-                let soon = now + self.rng.random_range(0..=self.timing.jitter);
-                self.next_request = self.next_request.min(soon);
+                let delayed = now + self.rng.random_range(0..=self.timing.jitter);
+                self.next_request_at = self.next_request_at.min(delayed);
             }
             _ => self.stats.unrecognized += 1,
         }
@@ -272,7 +284,7 @@
         }
         self.learn_configuration(response);
         self.learn_fallback(response.fallback_version);
-        self.forget_versions();
+        self.drop_unused_versions();
         let Some(versions) = &response.lease else { return };
         let all_are_known = versions.iter().all(|number| self.known_versions.contains_key(number));
         if versions.is_empty() || !all_are_known {
@@ -328,15 +340,15 @@
         let with_quorum = |voters: &BTreeSet<GatewayId>| (voters.clone(), self.timing.quorum(voters.len()));
         let configurations = self.configurations.iter();
         let quorums = configurations.map(|(number, voters)| (*number, with_quorum(voters))).collect();
-        let notices = Arc::make_mut(&mut self.received_grants);
-        notices.set_quorums(quorums);
-        notices.receive(from, response.configuration, grant, expires_at);
+        let received_grants = Arc::make_mut(&mut self.received_grants);
+        received_grants.set_quorums(quorums);
+        received_grants.receive(from, response.configuration, grant, expires_at);
     }
 
-    /// Learns the versions that a response brings; false if one of them is rejected.
+    /// Adds the versions in a response to the known ones, up to the first that is rejected; false if one is.
     fn learn_versions(&mut self, response: &LeaseResponse) -> bool {
         for version in decode_versions(response) {
-            let Some(version) = version.ok().filter(|version| self.fits_known(version)) else {
+            let Some(version) = version.ok().filter(|version| self.matches_known(version)) else {
                 self.stats.versions_rejected += 1;
                 return false;
             };
@@ -345,8 +357,9 @@
         true
     }
 
-    /// Whether a version is the one known under its number, if any, and links to its known neighbours.
-    fn fits_known(&self, version: &Version) -> bool {
+    /// Whether a version is the same as the one known under its number, if any, and links to the preceding and
+    /// following versions as far as these are known.
+    fn matches_known(&self, version: &Version) -> bool {
         let known = self.known_versions.get(&version.number);
         let before = version.number.checked_sub(1).and_then(|number| self.known_versions.get(&number));
         let after = self.known_versions.get(&(version.number + 1));
@@ -355,23 +368,24 @@
             && after.is_none_or(|after| after.follows(version).is_ok())
     }
 
-    fn forget_versions(&mut self) {
+    fn drop_unused_versions(&mut self) {
         while self.known_versions.len() > MAX_KNOWN_VERSIONS {
-            let unused = self.known_versions.keys().copied().find(|number| !self.uses(*number));
+            let unused = self.known_versions.keys().copied().find(|number| !self.is_in_use(*number));
             let Some(unused) = unused else { return };
             self.known_versions.remove(&unused);
         }
     }
 
-    fn uses(&self, number: VersionNumber) -> bool {
+    fn is_in_use(&self, number: VersionNumber) -> bool {
         Some(number) == self.fallback_version
-            || Some(number) == self.stored
+            || Some(number) == self.stored_version
             || self.leases.values().any(|lease| lease.versions.contains(&number))
             || self.narrowing.as_ref().is_some_and(|narrowing| narrowing.versions.contains(&number))
     }
 
-    /// A newer version may come into force: leases granted before are used only within what that allows too. Voters
-    /// are notified at once, and need not wait for those leases to expire.
+    /// Narrows earlier leases when a voter grants a lease on a newer version that conflicts with the current ones: from
+    /// now on they are used only for what the newer versions allow too. A request reports that to the voters at once,
+    /// so that they need not wait for those leases to expire before the newer version comes into force.
     fn narrow_to(&mut self, now: Micros, granted: &BTreeSet<VersionNumber>) {
         let current = self.rule_source(now).versions();
         if current.is_empty() || granted.is_subset(&current) || granted.last() <= current.last() {
@@ -389,10 +403,10 @@
             lease.versions.extend(&versions);
         }
         self.narrowing = Some(Narrowing { since: now, before_sequence: self.sequence, versions });
-        self.next_request = now;
+        self.next_request_at = now;
     }
 
-    /// Whether two versions conflict, or one of them is not known.
+    /// Whether two versions conflict; true also if one of them is not known.
     fn may_conflict(&self, a: VersionNumber, b: VersionNumber) -> bool {
         match (self.known_versions.get(&a), self.known_versions.get(&b)) {
             (Some(a), Some(b)) => !find_conflicts(&a.rules, &b.rules).is_empty(),
@@ -400,18 +414,20 @@
         }
     }
 
-    /// What it acts under now. To be called right before each act: a process may have been stopped since the last call.
+    /// The source of the rules that apply now. It must be determined right before each action: the process may have
+    /// been stopped since the last call, so that a lease has expired.
     pub fn rule_source(&self, now: Micros) -> RuleSource {
         let mut best: Option<(BTreeSet<VersionNumber>, Micros)> = None;
         for (configuration, voters) in &self.configurations {
             let quorum = self.timing.quorum(voters.len());
             let leases = self.unexpired_leases(now, *configuration, voters);
-            // A lease covers every set that contains its versions: considered are those of each lease, and their union.
+            // A lease covers every set that contains its versions, since more versions only restrict further.
+            // Candidates are the sets of the single leases, and the union of all.
             let union: BTreeSet<VersionNumber> =
                 leases.iter().flat_map(|lease| lease.versions.iter().copied()).collect();
             for versions in leases.iter().map(|lease| &lease.versions).chain([&union]) {
                 let Some(expires_at) = quorum_expiry(&leases, versions, quorum) else { continue };
-                if best.as_ref().is_none_or(|(known, _)| is_preferred(versions, known)) {
+                if best.as_ref().is_none_or(|(best_versions, _)| is_preferred(versions, best_versions)) {
                     best = Some((versions.clone(), expires_at));
                 }
             }
@@ -427,7 +443,7 @@
         leases.filter(|lease| lease.configuration == configuration && lease.expires_at > now).collect()
     }
 
-    /// What this gateway may do under a rule source.
+    /// What this gateway may do under a rule source. Versions that are not known are left out.
     pub fn effective_rules(&self, source: &RuleSource) -> EffectiveRules {
         match source {
             RuleSource::Lease(numbers, _) => {
@@ -443,7 +459,7 @@
     }
 }
 
-/// Until when a quorum of leases covers these versions.
+/// Until when a quorum of leases covers these versions; none if there are fewer such leases than a quorum.
 fn quorum_expiry(leases: &[&Lease], versions: &BTreeSet<VersionNumber>, quorum: usize) -> Option<Micros> {
     let covering = leases.iter().filter(|lease| lease.versions.is_subset(versions));
     let mut expiries: Vec<Micros> = covering.map(|lease| lease.expires_at).collect();
@@ -451,7 +467,8 @@
     expiries.get(quorum.checked_sub(1)?).copied()
 }
 
-/// Whether a lease on these versions is preferred: fewer versions restrict less, then the newer counts.
-fn is_preferred(versions: &BTreeSet<VersionNumber>, known: &BTreeSet<VersionNumber>) -> bool {
-    (versions.len(), known.last(), known.len()) < (known.len(), versions.last(), versions.len())
+/// Whether a lease on these versions is preferred to one on the others: fewer versions restrict less, and among sets of
+/// the same size the one with the newer version is preferred.
+fn is_preferred(versions: &BTreeSet<VersionNumber>, others: &BTreeSet<VersionNumber>) -> bool {
+    (versions.len(), others.last(), others.len()) < (others.len(), versions.last(), versions.len())
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between voters, followers and clients. They are encoded by position: the order of fields and variants is
+//! Messages between voters, followers and clients. They are encoded by position: the order of variants and fields is
 //! fixed.
 
 use crate::ruleset::GatewayId;
@@ -11,71 +11,76 @@
 /// Largest size of an encoded message, bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// A follower's request for a lease, sent to all voters alike.
+/// A follower's request for a lease. The same request is sent to all voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Drawn at the follower's start.
+    /// A random number that identifies the follower's process.
     pub incarnation: u64,
-    /// Grows with each request of an incarnation.
+    /// The number of the request; it increases with each request of an incarnation.
     pub sequence: u64,
-    /// Leases of requests before this sequence are used only within these versions from now on.
+    /// A request sequence and a set of versions: the follower uses leases granted to requests before that sequence only
+    /// for what all of these versions allow too.
     pub narrowed: Option<(u64, BTreeSet<VersionNumber>)>,
-    /// The stored version whose fallback rules it uses without a lease; 0: none.
+    /// The version that the follower has stored, and whose fallback rules it uses without a lease; 0: none.
     pub fallback_version: VersionNumber,
-    /// The versions it knows.
+    /// The versions that the follower has.
     pub known_versions: BTreeSet<VersionNumber>,
-    /// Of a canary: whether it is healthy under a version.
+    /// A version, and whether the gateway is healthy under it. It counts only from canaries.
     pub canary_report: Option<(VersionNumber, bool)>,
-    /// What it has open and has demand for, where servers have budgets.
+    /// The gateway's open connections and its demand for connections, if servers have budgets.
     pub permits: Option<GatewayReport>,
 }
 
-/// A voter's response.
+/// A voter's response to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Of the request.
+    /// The incarnation in the request.
     pub incarnation: u64,
-    /// Of the request.
+    /// The sequence in the request.
     pub sequence: u64,
-    /// The number of the voters' configuration.
+    /// The number of the configuration that the voter is in.
     pub configuration: u32,
     /// The voters of that configuration.
     pub voters: BTreeSet<GatewayId>,
-    /// A lease on what all of these versions allow; none, if this voter may not grant one now.
+    /// The versions of the granted lease, which allows what all of them allow; none if this voter may not grant one
+    /// now.
     pub lease: Option<BTreeSet<VersionNumber>>,
-    /// The version that is rolled out, to be stored as the fallback.
+    /// The fully rolled out version, which the follower is to store as its fallback.
     pub fallback_version: VersionNumber,
-    /// Versions that the follower lacks, as [`Version::to_bytes`].
+    /// The versions that the follower lacks, each encoded by [`Version::to_bytes`].
     pub missing_versions: Vec<Vec<u8>>,
     /// The follower's connection permits, for the term of the lease.
     pub permits: Option<PermitGrant>,
 }
 
-/// What a configuration of voters begins with.
+/// A configuration of voters, with the record at its beginning.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number, from 1.
+    /// The number of the configuration, from 1.
     pub number: u32,
-    /// Its voters.
+    /// The voters of the configuration.
     pub voters: BTreeSet<GatewayId>,
-    /// Voters that entered this or an earlier one with empty storage, by the nonce that each then drew.
+    /// Voters that entered this or an earlier configuration with empty storage, each with the nonce in its
+    /// [`Message::StorageLost`].
     pub readmitted: BTreeMap<GatewayId, u64>,
-    /// The record as it was agreed on before, as [`StateMachine::to_bytes`](crate::StateMachine::to_bytes).
+    /// The record at the end of the preceding configuration, encoded by
+    /// [`StateMachine::to_bytes`](crate::StateMachine::to_bytes).
     pub snapshot: Vec<u8>,
 }
 
-/// A message.
+/// A message between two gateways. Clients and operators send theirs through a gateway's admin interface.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// Between voters of one configuration.
+    /// A consensus message between two voters of the same configuration.
     Paxos {
-        /// The number of the configuration.
+        /// The number of the sender's configuration.
         configuration: u32,
-        /// How often the sender's storage was opened, and its messages since: lexicographically they only grow.
+        /// How often the sender's storage has been opened, and the number of messages it has sent since. The pairs
+        /// increase in lexicographic order.
         sequence: (u64, u64),
-        /// Entries that the sender has accepted, and those it knows to be decided.
+        /// The number of entries that the sender has accepted, and the number of those that it knows to be decided.
         log_position: (u64, u64),
-        /// The consensus library's own message.
+        /// The message of the consensus library.
         message: Box<omnipaxos::messages::Message<Entry>>,
     },
     /// The sender is still in an earlier configuration than the voter that it replies to, and needs the later one.
@@ -83,31 +88,31 @@
         /// The number of the sender's configuration.
         configuration: u32,
     },
-    /// What a later configuration began with.
+    /// A later configuration, which the receiver is to enter.
     Install(Box<Configuration>),
-    /// From a voter whose storage is empty.
+    /// The sender is a voter, and its storage is empty.
     StorageLost {
-        /// Drawn at its start.
+        /// A random number that identifies the sender's process.
         nonce: u64,
     },
-    /// A follower's request.
+    /// A follower requests a lease from a voter.
     LeaseRequest(LeaseRequest),
-    /// A voter's response.
+    /// A voter's response to a lease request.
     LeaseResponse(Box<LeaseResponse>),
-    /// The record has changed: request a lease.
+    /// A voter notifies a follower that the record has changed, so that it requests a lease soon.
     RecordChanged,
-    /// A client's proposal.
+    /// A client proposes a version.
     Propose(Box<Proposal>),
-    /// What became of it.
+    /// A voter's reply to a proposal, once its outcome is known.
     ProposalOutcome {
         /// The identifier of the proposal.
         id: u64,
-        /// The outcome.
+        /// Whether the proposal became a version, or why not.
         outcome: Outcome,
     },
     /// An operator withdraws a version and those numbered after it.
     Withdraw {
-        /// The version.
+        /// The first version that is withdrawn.
         version: VersionNumber,
         /// Why it is withdrawn.
         reason: String,
@@ -117,28 +122,28 @@
         /// The gateway.
         gateway: GatewayId,
     },
-    /// An operator requests other voters.
+    /// An operator requests a change of voters.
     ChangeVoters {
         /// The new voters.
         voters: BTreeSet<GatewayId>,
     },
 }
 
-/// Encodes a message.
+/// Encodes a message for the peer connection.
 pub fn encode(message: &Message) -> Vec<u8> {
     postcard::to_stdvec(message).unwrap_or_default()
 }
 
-/// Why bytes are no message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// They are longer than any message.
-    #[error("a message of {0} bytes, {MAX_MESSAGE_BYTES} at most")]
+    /// There are more bytes, namely this number, than the 64 MiB that a message may have.
+    #[error("message of {0} bytes exceeds the maximum of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
-    /// So many bytes follow the message.
-    #[error("{0} bytes too many")]
+    /// This number of bytes follows the message.
+    #[error("{0} bytes follow the end of the message")]
     TrailingBytes(usize),
-    /// They do not encode a message.
+    /// The bytes do not encode a message.
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
 }
@@ -146,7 +151,7 @@
 /// Decodes what [`encode`] encoded.
 ///
 /// # Errors
-/// The bytes are no message, or too long.
+/// The bytes are not exactly one message, or more than the 64 MiB that a message may have.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong(bytes.len()));
@@ -157,7 +162,7 @@
     }
 }
 
-/// The versions that a response brings, decoded and validated.
+/// The versions in a response's `missing_versions`, decoded and validated.
 pub(crate) fn decode_versions(
     response: &LeaseResponse,
 ) -> impl Iterator<Item = Result<Version, VersionError>> + '_ {
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -1,46 +1,48 @@
-//! Times derived from the settings.
+//! Settings of the consensus, and the times derived from them.
 
 use crate::ruleset::FieldError;
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-/// Microseconds on a monotonic clock of the process.
+/// A time or duration in microseconds on the process's monotonic clock.
 pub type Micros = u64;
 
-/// An entry that was proposed and is not seen in the log is proposed again after so many ticks.
+/// Ticks after which an entry that was proposed, and has not appeared in the log, is proposed again.
 pub(crate) const REPROPOSE_TICKS: u64 = 10;
-/// Gateways and proposals not heard of for so many lease terms are forgotten.
+/// Lease terms after which the state kept for a gateway or proposal that has sent nothing since is dropped.
 pub(crate) const STALE_LEASE_TERMS: u64 = 4;
 
-/// Bounds of [`TimingSettings::within_ms`], milliseconds.
+/// The values that [`TimingSettings::within_ms`] may have, milliseconds.
 const WITHIN_MS: RangeInclusive<u64> = 200..=600_000;
-/// A clock further off than this is broken, parts per million.
+/// The largest clock drift that may be set, parts per million; a clock that deviates more is defective.
 const MAX_DRIFT_PPM: u64 = 100_000;
-/// Parts in a whole, for clock drift.
+/// The whole, in parts per million.
 const PARTS_PER_MILLION: u64 = 1_000_000;
-/// Entries of a log before a new configuration begins from a snapshot.
+/// See [`Timing::max_log_entries`].
 const MAX_LOG_ENTRIES: usize = 1_024;
-/// Bytes of a journal before it is rewritten.
+/// See [`Timing::max_journal_bytes`].
 const MAX_JOURNAL_BYTES: u64 = 4 << 20;
 const MIN_TICK: Micros = 1_000;
 const MIN_CONFIRMATION_INTERVAL: Micros = 10_000;
 const MIN_PEER_STALL_TIMEOUT: Micros = 500_000;
 const MIN_RECONNECT_DELAY: Micros = 100_000;
 
-/// What an operator sets: keys of the settings section `accord`.
+/// What operators set: the section `accord` of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimingSettings {
-    /// Longest time a gateway may act under a version after another acted under a conflicting one, milliseconds.
+    /// Longest time for which a gateway may still act under a version after another gateway has first acted under a
+    /// conflicting one, milliseconds.
     pub within_ms: u64,
-    /// Largest deviation of a process's clock rate, parts per million.
+    /// Largest deviation of the rate of any gateway's clock, parts per million.
     pub drift_ppm: u64,
-    /// Under fallback rules, how long a server's statement that it takes new work is valid from its request,
-    /// milliseconds.
+    /// How long a server's response that it takes new work is valid under fallback rules, from when the gateway sent
+    /// the request, milliseconds.
     pub confirm_ms: u64,
-    /// Percentage of gateways that try a version before the others.
+    /// Percentage of gateways that are canaries: a version is in force for them before it is for the others.
     pub canary_percent: u8,
-    /// Time in which the canaries must confirm a version before it is withdrawn, milliseconds.
+    /// Time within which all canaries of a version must report that they are healthy, milliseconds; otherwise the
+    /// version is withdrawn.
     pub canary_ms: u64,
 }
 
@@ -56,53 +58,54 @@
     }
 }
 
-/// Times of voters and followers, and bugs that tests inject.
+/// Times and limits of voters and followers, and bugs that tests inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The term of a lease, from the sending of the request, on the follower's clock.
+    /// The term of a lease on the follower's clock, from when it sent the request.
     pub lease: Micros,
-    /// How long a voter waits after granting a lease, on its own clock: the term, with both clocks off as far as they
-    /// may be.
+    /// How long after granting a lease a voter counts it as unexpired, on the voter's clock: the longest that the term
+    /// can last there, with the largest allowed drift of both clocks.
     pub lease_wait: Micros,
-    /// A voter that may have forgotten leases (it started, or voters changed) attests nothing before this time.
+    /// How long a voter makes no attestations after a change that leaves it without knowledge of granted leases: its
+    /// own start, or a change of voters.
     pub quarantine: Micros,
     /// Interval between a follower's requests.
     pub request_interval: Micros,
-    /// First requests, and those after a notification, are spread over this time.
+    /// A follower delays its first request, and one after a notification, by a random time up to this.
     pub jitter: Micros,
-    /// A replica's tick.
+    /// Interval at which a replica advances its consensus timers.
     pub tick: Micros,
-    /// Under fallback rules, how long a server's statement is valid from its request.
+    /// See [`TimingSettings::confirm_ms`].
     pub confirmation_ttl: Micros,
     /// See [`TimingSettings::canary_ms`].
     pub canary_timeout: Micros,
-    /// How long a canary observes a version before it reports that it is healthy.
+    /// How long a canary acts under a version before it may report that it is healthy.
     pub canary_observation: Micros,
-    /// How long before a lease expires servers are probed, so that their statements are there without it.
+    /// How long before a lease expires the servers are probed, so that confirmations exist once fallback rules apply.
     pub confirmation_lead: Micros,
-    /// Interval at which is checked whether a server is to be probed, or the list of servers has changed.
+    /// Interval of the check whether servers need to be probed and whether the list of servers has changed.
     pub confirmation_interval: Micros,
-    /// What a client that is rejected under fallback rules is told to wait.
+    /// The retry delay sent to a client whose request is rejected for want of a lease, a server or a connection permit.
     pub retry_after: Micros,
-    /// A peer connection on which nothing is acknowledged for so long is closed: what it carries comes too late for a
-    /// lease.
+    /// A peer connection on which nothing has been acknowledged for this time is closed: what it carries would arrive
+    /// too late for a lease.
     pub peer_stall_timeout: Micros,
-    /// The longest delay before a peer connection is opened anew.
+    /// The longest delay before a peer connection is reopened.
     pub max_reconnect_delay: Micros,
-    /// Entries of a log before a new configuration begins from a snapshot.
+    /// The number of log entries beyond which a new configuration begins from a snapshot, with an empty log.
     pub max_log_entries: usize,
-    /// Bytes of a journal before it is rewritten.
+    /// The journal's size in bytes beyond which it is rewritten.
     pub max_journal_bytes: u64,
-    /// An injected bug: terms of leases are counted from the response.
+    /// An injected bug: followers count the term of a lease from the response instead of the request.
     pub bug_lease_from_response: bool,
-    /// An injected bug: one voter is a quorum.
+    /// An injected bug: followers take a single voter as a quorum.
     pub bug_single_voter_quorum: bool,
-    /// An injected bug: permits are taken to expire with their lease.
+    /// An injected bug: voters take connections to be closed as soon as the lease of their permits has expired.
     pub bug_no_idle_wait: bool,
 }
 
 impl TimingSettings {
-    /// Everything that is wrong with the settings, by the path of the key.
+    /// All errors in the settings, each with the path of its key.
     fn validate(&self) -> Vec<FieldError> {
         let mut errors = vec![];
         if !WITHIN_MS.contains(&self.within_ms) {
@@ -114,6 +117,7 @@
             let reason = format!("is {}, {MAX_DRIFT_PPM} at most", self.drift_ppm);
             errors.push(FieldError::new("accord.drift_ppm", reason));
         }
+        // The time `confirm_ms` as it may last on another clock, scaled by `PARTS_PER_MILLION`.
         let longest_confirm = self.confirm_ms.saturating_mul(PARTS_PER_MILLION + self.drift_ppm);
         if self.confirm_ms == 0 || longest_confirm > self.within_ms.saturating_mul(PARTS_PER_MILLION) {
             let reason = format!("is {}: over 0 and, clocks off, within {}", self.confirm_ms, self.within_ms);
@@ -130,18 +134,18 @@
         errors
     }
 
-    /// Derives the times.
+    /// Derives the times from the settings.
     ///
     /// # Errors
-    /// Everything that is wrong with the settings, with paths.
+    /// All errors in the settings, each with the path of its key.
     pub fn timing(&self) -> Result<Timing, Vec<FieldError>> {
         let errors = self.validate();
         if !errors.is_empty() {
             return Err(errors);
         }
-        // Half: so that who waits for a lease to expire, and then finds that a voter was just lost, is still in time.
+        // Half of the allowed time: if a voter is lost just when a lease has expired, there is time to wait once more.
         let lease = self.within_ms * 1_000 / 2;
-        // A follower's clock may run slow, a voter's fast.
+        // The follower's clock may be slow and the voter's fast, each by the largest allowed drift.
         let lease_wait =
             lease * (PARTS_PER_MILLION + self.drift_ppm) / (PARTS_PER_MILLION - self.drift_ppm) + 1;
         let confirm = self.confirm_ms * 1_000;
@@ -150,7 +154,7 @@
             lease,
             lease_wait,
             quarantine: lease_wait,
-            // Four requests in a lease term: three may be lost.
+            // Four requests in each lease term: three in a row may be lost before the lease expires.
             request_interval: lease / 4,
             jitter: lease / 8,
             tick: (lease / 30).max(MIN_TICK),
@@ -172,14 +176,15 @@
 }
 
 impl Timing {
-    /// The longest that a time on another clock may last on this one, both off as far as they may be.
-    pub fn with_clock_drift(&self, time: Micros) -> Micros {
+    /// The longest that a duration measured by another process can last on this process's clock, with the largest
+    /// allowed drift of both clocks.
+    pub fn with_clock_drift(&self, duration: Micros) -> Micros {
         let (wait, lease) = (u128::from(self.lease_wait.max(1)), u128::from(self.lease.max(1)));
-        let longest = u128::from(time) * wait / lease;
+        let longest = u128::from(duration) * wait / lease;
         Micros::try_from(longest + 1).unwrap_or(Micros::MAX)
     }
 
-    /// How many of so many voters are a quorum.
+    /// The size of a quorum among this number of voters: a majority.
     pub fn quorum(&self, voters: usize) -> usize {
         if self.bug_single_voter_quorum {
             1
