--- a/crates/consensus/tests/wire_bytes.rs
+++ b/crates/consensus/tests/wire_bytes.rs
@@ -1,6 +1,7 @@
-//! Bytes of the messages between gateways, compared with recorded ones: one sample of every variant.
+//! The encoded bytes of the messages between gateways, compared with recorded ones: one sample of every variant.
 //!
-//! The codec writes fields and variants by position, so a changed order shows here and nowhere else.
+//! The codec writes fields and variants by position. If their order is changed, the program still agrees with itself,
+//! but not with processes of an earlier version: only a comparison with recorded bytes finds that.
 
 #[path = "../../../tests/common/fixture.rs"]
 mod fixture;
@@ -27,7 +28,7 @@
     entries.into_iter().map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
-fn holder(class: Option<&str>) -> TenantClass {
+fn tenant_class(class: Option<&str>) -> TenantClass {
     TenantClass { tenant: "sul".to_owned(), class: class.map(str::to_owned) }
 }
 
@@ -94,7 +95,7 @@
         state,
         zone: zone.to_owned(),
     };
-    let class = |cost_milli, repeatable, ground| Class { cost_milli, repeatable, on_fallback: ground };
+    let class = |cost_milli, repeatable, on_fallback| Class { cost_milli, repeatable, on_fallback };
     let tenant = |plan: &str| Tenant { plan: plan.to_owned(), classes: names(&["read"]), floor_milli: 500 };
     Rules {
         format: RULES_FORMAT,
@@ -135,21 +136,24 @@
     }
 }
 
-/// A record after some entries, so that all of its parts hold something.
+/// A record after entries of several kinds, so that its parts are not empty.
 fn machine() -> StateMachine {
     let mut machine =
-        StateMachine::bootstrap(BTreeSet::from([0, 1, 2]), rules(), 34, 7).expect("sound rules");
-    let next = Proposal { rules: rules(), ..proposal() };
-    let entries = [Entry::Publish(Box::new(next)), Entry::LeasesCleared { voter: 0, version: 2 }];
-    for entry in entries.into_iter().chain(changes().into_iter().map(|change| Entry::Permits(vec![change]))) {
+        StateMachine::bootstrap(BTreeSet::from([0, 1, 2]), rules(), 34, 7).expect("valid rules");
+    let second = Proposal { rules: rules(), ..proposal() };
+    let entries = [Entry::Publish(Box::new(second)), Entry::LeasesCleared { voter: 0, version: 2 }];
+    for entry in
+        entries.into_iter().chain(permit_changes().into_iter().map(|change| Entry::Permits(vec![change])))
+    {
         machine.apply(entry);
     }
     machine
 }
 
-fn changes() -> Vec<PermitChange> {
-    let over = |word| PermitChange::Attested { voter: 2, nonce: 77, gateway: 1, round: 3, attestation: word };
-    let place = || BudgetScope::tenant("main", &holder(None));
+fn permit_changes() -> Vec<PermitChange> {
+    let attested =
+        |attestation| PermitChange::Attested { voter: 2, nonce: 77, gateway: 1, round: 3, attestation };
+    let scope = || BudgetScope::tenant("main", &tenant_class(None));
     vec![
         PermitChange::VoterStarted { voter: 2, nonce: 77 },
         PermitChange::GatewayStarted { gateway: 1, incarnation: 99 },
@@ -160,32 +164,33 @@
             open: vec![(BudgetScope::server("node-1"), 3)],
         },
         PermitChange::GatewayLeft { gateway: 1, incarnation: 99 },
-        over(Attestation::LeasesExpired),
-        over(Attestation::EarlierLeasesExpired),
-        over(Attestation::EarlierProcessesEnded),
+        attested(Attestation::LeasesExpired),
+        attested(Attestation::EarlierLeasesExpired),
+        attested(Attestation::EarlierProcessesEnded),
         PermitChange::GatewayActiveAgain { gateway: 1, round: 3 },
         PermitChange::Allocated {
             active_conditions: names(&["a-dark"]),
             moves: vec![
                 LedgerChange::SetCapacity { scope: BudgetScope::server("node-1"), capacity: 40 },
-                LedgerChange::Grant { scope: place(), gateway: 1, count: 4, fallback: 2 },
-                LedgerChange::Recall { scope: place(), gateway: 1, target: 1 },
+                LedgerChange::Grant { scope: scope(), gateway: 1, count: 4, fallback: 2 },
+                LedgerChange::Recall { scope: scope(), gateway: 1, target: 1 },
             ],
         },
     ]
 }
 
+/// Every variant of [`Entry`], by the name of its case.
 fn entries() -> Vec<(&'static str, Entry)> {
     vec![
         ("publish", Entry::Publish(Box::new(proposal()))),
-        ("clear", Entry::LeasesCleared { voter: 1, version: 2 }),
-        ("stand", Entry::FallbackStored { version: 2, gateways: vec![0, 300] }),
-        ("canary", Entry::CanaryReport { version: 2, gateway: 1, healthy: true }),
+        ("leases-cleared", Entry::LeasesCleared { voter: 1, version: 2 }),
+        ("fallback-stored", Entry::FallbackStored { version: 2, gateways: vec![0, 300] }),
+        ("canary-report", Entry::CanaryReport { version: 2, gateway: 1, healthy: true }),
         ("withdraw", Entry::Withdraw { version: 2, reason: "too slow".to_owned() }),
         ("retire", Entry::Retire { gateway: 1 }),
-        ("slots", Entry::Permits(changes())),
+        ("permits", Entry::Permits(permit_changes())),
         (
-            "next",
+            "change-configuration",
             Entry::ChangeConfiguration {
                 voters: BTreeSet::from([0, 1]),
                 readmitted: BTreeMap::from([(1, 55)]),
@@ -194,23 +199,24 @@
     ]
 }
 
+/// Every variant of [`Outcome`], by the name of its case.
 fn outcomes() -> Vec<(&'static str, Outcome)> {
-    let fault = || FieldError { path: "tenants.sul.plan".to_owned(), reason: "there is no plan".to_owned() };
+    let error = || FieldError { path: "tenants.sul.plan".to_owned(), reason: "there is no plan".to_owned() };
     let changed = vec!["plans.base".to_owned()];
     vec![
         ("numbered", Outcome::Numbered(2)),
         ("overtaken", Outcome::Overtaken { latest: 3, changed_paths: changed }),
-        ("faulty", Outcome::Invalid(vec![fault()])),
+        ("invalid", Outcome::Invalid(vec![error()])),
         (
-            "breaks-ground",
-            Outcome::BreaksFallback { version: 1, held_by: vec![0, 2], conflicts: vec![fault()] },
+            "breaks-fallback",
+            Outcome::BreaksFallback { version: 1, held_by: vec![0, 2], conflicts: vec![error()] },
         ),
-        ("full", Outcome::TooManyVersions(32)),
+        ("too-many-versions", Outcome::TooManyVersions(32)),
     ]
 }
 
-/// The consensus library's messages, as the program wraps them.
-fn consensus() -> Vec<(&'static str, omnipaxos::messages::Message<Entry>)> {
+/// Messages of the consensus library, and each variant of [`Entry`] in a message that replicates it.
+fn consensus_messages() -> Vec<(&'static str, omnipaxos::messages::Message<Entry>)> {
     let n = Ballot { config_id: 4, n: 5, priority: 6, pid: 2 };
     let seq_num = SequenceNumber { session: 8, counter: 9 };
     let log_sync = || LogSync {
@@ -250,14 +256,14 @@
     all
 }
 
-fn ask() -> LeaseRequest {
-    let slots = GatewayReport {
+fn lease_request() -> LeaseRequest {
+    let report = GatewayReport {
         seen_epoch: 5,
         open_counts: vec![
             (BudgetScope::server("node-1"), 3),
-            (BudgetScope::tenant("main", &holder(Some("read"))), 2),
+            (BudgetScope::tenant("main", &tenant_class(Some("read"))), 2),
         ],
-        demand: vec![("main".to_owned(), holder(None), Demand { peak: 7, mean_milli: 1_500 })],
+        demand: vec![("main".to_owned(), tenant_class(None), Demand { peak: 7, mean_milli: 1_500 })],
         group_peaks: vec![("main".to_owned(), 9)],
         unavailable_zones: names(&["b"]),
         sole_process: true,
@@ -270,12 +276,12 @@
         fallback_version: 1,
         known_versions: BTreeSet::from([1, 2]),
         canary_report: Some((2, true)),
-        permits: Some(slots),
+        permits: Some(report),
     }
 }
 
-fn answer() -> LeaseResponse {
-    let slots = PermitCounts { held: 5, target: 4, fallback: 2 };
+fn lease_response() -> LeaseResponse {
+    let counts = PermitCounts { held: 5, target: 4, fallback: 2 };
     LeaseResponse {
         incarnation: 99,
         sequence: 300,
@@ -284,24 +290,26 @@
         lease: Some(BTreeSet::from([1, 2])),
         fallback_version: 1,
         missing_versions: vec![version().to_bytes()],
-        permits: Some(PermitGrant::Current(6, vec![(BudgetScope::server("node-1"), slots)])),
+        permits: Some(PermitGrant::Current(6, vec![(BudgetScope::server("node-1"), counts)])),
     }
 }
 
-fn bare_ask() -> LeaseRequest {
-    LeaseRequest { narrowed: None, canary_report: None, permits: None, ..ask() }
+/// A request without its optional parts.
+fn bare_lease_request() -> LeaseRequest {
+    LeaseRequest { narrowed: None, canary_report: None, permits: None, ..lease_request() }
 }
 
-fn bare_answer() -> LeaseResponse {
+/// A response without a lease.
+fn bare_lease_response() -> LeaseResponse {
     LeaseResponse {
         lease: None,
         missing_versions: vec![],
         permits: Some(PermitGrant::Unchanged(6)),
-        ..answer()
+        ..lease_response()
     }
 }
 
-fn base() -> Configuration {
+fn configuration() -> Configuration {
     Configuration {
         number: 4,
         voters: BTreeSet::from([0, 1, 2]),
@@ -310,10 +318,10 @@
     }
 }
 
-/// One sample of every variant.
+/// One sample of every variant of [`Message`], by the name of its case in the fixture.
 fn messages() -> Vec<(String, Message)> {
     let mut all: Vec<(String, Message)> = vec![];
-    for (name, message) in consensus() {
+    for (name, message) in consensus_messages() {
         let message = Box::new(message);
         all.push((
             format!("paxos-{name}"),
@@ -321,21 +329,21 @@
         ));
     }
     for (name, outcome) in outcomes() {
-        all.push((format!("told-{name}"), Message::ProposalOutcome { id: 9, outcome }));
+        all.push((format!("outcome-{name}"), Message::ProposalOutcome { id: 9, outcome }));
     }
     let others = [
-        ("behind", Message::OutdatedConfiguration { configuration: 4 }),
-        ("install", Message::Install(Box::new(base()))),
-        ("lost", Message::StorageLost { nonce: 55 }),
-        ("ask", Message::LeaseRequest(ask())),
-        ("ask-bare", Message::LeaseRequest(bare_ask())),
-        ("answer", Message::LeaseResponse(Box::new(answer()))),
-        ("answer-bare", Message::LeaseResponse(Box::new(bare_answer()))),
-        ("hint", Message::RecordChanged),
+        ("outdated-configuration", Message::OutdatedConfiguration { configuration: 4 }),
+        ("install", Message::Install(Box::new(configuration()))),
+        ("storage-lost", Message::StorageLost { nonce: 55 }),
+        ("lease-request", Message::LeaseRequest(lease_request())),
+        ("lease-request-bare", Message::LeaseRequest(bare_lease_request())),
+        ("lease-response", Message::LeaseResponse(Box::new(lease_response()))),
+        ("lease-response-bare", Message::LeaseResponse(Box::new(bare_lease_response()))),
+        ("record-changed", Message::RecordChanged),
         ("propose", Message::Propose(Box::new(proposal()))),
         ("withdraw", Message::Withdraw { version: 2, reason: "too slow".to_owned() }),
         ("retire", Message::Retire { gateway: 300 }),
-        ("rekey", Message::ChangeVoters { voters: BTreeSet::from([0, 300]) }),
+        ("change-voters", Message::ChangeVoters { voters: BTreeSet::from([0, 300]) }),
     ];
     all.extend(others.map(|(name, message)| (name.to_owned(), message)));
     all
@@ -343,33 +351,37 @@
 
 #[test]
 fn messages_have_the_recorded_bytes() {
-    let encoded: Vec<_> = messages().iter().map(|(name, m)| (name.clone(), hex(&encode(m)))).collect();
+    let samples = messages();
+    let encoded: Vec<_> =
+        samples.iter().map(|(name, message)| (name.clone(), hex(&encode(message)))).collect();
     assert_recorded(MESSAGES, &encoded);
 }
 
 #[test]
-fn recorded_messages_are_read_as_what_was_written() {
+fn recorded_messages_decode_to_the_samples() {
     for (name, message) in messages() {
-        let read = decode(&recorded(MESSAGES, &name)).expect("readable");
-        assert_eq!(format!("{read:?}"), format!("{message:?}"), "{name}");
+        let decoded = decode(&recorded(MESSAGES, &name)).expect("a recorded message");
+        assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name}");
     }
 }
 
 #[test]
-fn versions_and_records_inside_messages_are_read_too() {
-    let Ok(Message::LeaseResponse(answer)) = decode(&recorded(MESSAGES, "answer")) else {
-        panic!("an answer")
+fn versions_and_snapshots_in_messages_decode_too() {
+    let Ok(Message::LeaseResponse(response)) = decode(&recorded(MESSAGES, "lease-response")) else {
+        panic!("case lease-response is not a lease response")
     };
-    assert_eq!(Version::from_bytes(&answer.missing_versions[0]), Ok(version()));
-    let Ok(Message::Install(base)) = decode(&recorded(MESSAGES, "install")) else { panic!("a base") };
-    assert_eq!(StateMachine::from_bytes(&base.snapshot), Ok(machine()));
+    assert_eq!(Version::from_bytes(&response.missing_versions[0]), Ok(version()));
+    let Ok(Message::Install(configuration)) = decode(&recorded(MESSAGES, "install")) else {
+        panic!("case install is not a configuration")
+    };
+    assert_eq!(StateMachine::from_bytes(&configuration.snapshot), Ok(machine()));
 }
 
 #[test]
-fn hashes_of_rules_and_versions() {
+fn rules_and_versions_have_the_recorded_hashes() {
     assert_recorded(
         include_str!("fixtures/hashes.txt"),
-        &[("version", hex(&version().hash())), ("rules-lot", hex(&rules().seed().to_be_bytes()))],
+        &[("version", hex(&version().hash())), ("rules-seed", hex(&rules().seed().to_be_bytes()))],
     );
 }
 
@@ -377,6 +389,6 @@
 
 #[test]
 fn rules_have_the_recorded_json() {
-    assert_eq!(serde_json::to_string_pretty(&rules()).expect("JSON") + "\n", RULES_JSON);
-    assert_eq!(serde_json::from_str::<Rules>(RULES_JSON).expect("rules"), rules());
+    assert_eq!(serde_json::to_string_pretty(&rules()).expect("rules as JSON") + "\n", RULES_JSON);
+    assert_eq!(serde_json::from_str::<Rules>(RULES_JSON).expect("rules from JSON"), rules());
 }
