--- a/crates/consensus/src/effective_rules.rs
+++ b/crates/consensus/src/effective_rules.rs
@@ -231,7 +231,7 @@
     violations
 }
 
-/// Whether the path is that of a server whose only change is that it drains under `new`: its address is the same.
+/// Whether the path is that of a server that drains under `new`, at the same address as under `old`.
 fn begins_draining(path: &str, old: &Rules, new: &Rules) -> bool {
     let Some(name) = path.strip_prefix("servers.") else { return false };
     let old_address = old.servers.get(name).map(|server| &server.address);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -137,7 +137,7 @@
 /// Why bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// There are more bytes, namely this number, than the 64 MiB that a message may have.
+    /// The length of the message in bytes, which exceeds the maximum of 64 MiB.
     #[error("message of {0} bytes exceeds the maximum of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
     /// This number of bytes follows the message.
@@ -151,7 +151,7 @@
 /// Decodes what [`encode`] encoded.
 ///
 /// # Errors
-/// The bytes are not exactly one message, or more than the 64 MiB that a message may have.
+/// The bytes are not exactly one message, or exceed the maximum of 64 MiB.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong(bytes.len()));
--- a/crates/consensus/src/permit_issuer.rs
+++ b/crates/consensus/src/permit_issuer.rs
@@ -22,7 +22,7 @@
 struct IssuedLeases {
     /// The process that the last lease was granted to.
     incarnation: u64,
-    /// When the last lease of this incarnation expires.
+    /// When the last lease expires, of this incarnation or an earlier one.
     expires_at: Micros,
     /// When the last lease of earlier incarnations expires.
     earlier_expire_at: Micros,
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -117,7 +117,7 @@
             let reason = format!("is {}, {MAX_DRIFT_PPM} at most", self.drift_ppm);
             errors.push(FieldError::new("accord.drift_ppm", reason));
         }
-        // The time `confirm_ms` as it may last on another clock, scaled by `PARTS_PER_MILLION`.
+        // The longest that `confirm_ms` may last with the largest clock drift, times `PARTS_PER_MILLION`.
         let longest_confirm = self.confirm_ms.saturating_mul(PARTS_PER_MILLION + self.drift_ppm);
         if self.confirm_ms == 0 || longest_confirm > self.within_ms.saturating_mul(PARTS_PER_MILLION) {
             let reason = format!("is {}: over 0 and, clocks off, within {}", self.confirm_ms, self.within_ms);
@@ -143,7 +143,8 @@
         if !errors.is_empty() {
             return Err(errors);
         }
-        // Half of the allowed time: if a voter is lost just when a lease has expired, there is time to wait once more.
+        // Half of `within_ms`, so that there is time for another term if a voter turns out to be lost just after a lease
+        // was waited for.
         let lease = self.within_ms * 1_000 / 2;
         // The follower's clock may be slow and the voter's fast, each by the largest allowed drift.
         let lease_wait =
