--- a/crates/connection-budget/src/verification/limits.rs
+++ b/crates/connection-budget/src/verification/limits.rs
@@ -1,4 +1,5 @@
-//! Figures that are out of range by themselves.
+//! Verifies what can be judged from the policy alone: ranges of figures, numbers of entries, names of conditions and
+//! rules.
 
 use super::{PolicyError, PolicyProblem};
 use crate::policy::{
@@ -6,13 +7,13 @@
 };
 use std::collections::BTreeMap;
 
-/// Connections of one server at most, so that sums stay small. A budget of so many binds nobody: gateways that never
-/// heard of it keep it too.
-pub const MAX_CONNECTIONS: u32 = 1_000_000;
-/// Durations of a budget at most, milliseconds: a day.
+/// Maximum number of connections of one server, which keeps sums of connections small. A budget of this size limits
+/// nothing in practice, so gateways that do not know of it comply with it too.
+pub const MAX_CONNECTIONS_PER_SERVER: u32 = 1_000_000;
+/// Longest duration that a budget may set, milliseconds: one day.
 const MAX_DURATION_MS: u64 = 86_400_000;
 
-/// All figures of a policy that are out of range.
+/// All problems that follow from the policy alone.
 pub(crate) fn limit_errors(policy: &Policy) -> Vec<PolicyError> {
     let mut errors = vec![];
     let counts =
@@ -26,10 +27,10 @@
     for (name, condition) in &policy.conditions {
         condition_errors(name, condition, &mut errors);
     }
-    let mut seen = BTreeMap::new();
+    let mut indices_by_name = BTreeMap::new();
     for (index, rule) in policy.rules.iter().enumerate() {
-        if let Some(first) = seen.insert(&rule.name, index) {
-            let reason = PolicyProblem::DuplicateRuleName { name: rule.name.clone(), first };
+        if let Some(previous) = indices_by_name.insert(&rule.name, index) {
+            let reason = PolicyProblem::DuplicateRuleName { name: rule.name.clone(), previous };
             errors.push(PolicyError::new(format!("rules[{index}].name"), reason));
         }
         rule_errors(index, rule, &mut errors);
@@ -42,8 +43,11 @@
         errors.push(PolicyError::new(format!("budgets.{name}.{field}"), reason));
     };
     let connections = budget.connections;
-    if connections == 0 || connections > MAX_CONNECTIONS {
-        push("connections", PolicyProblem::ConnectionsOutOfRange { connections, max: MAX_CONNECTIONS });
+    if connections == 0 || connections > MAX_CONNECTIONS_PER_SERVER {
+        push(
+            "connections",
+            PolicyProblem::ConnectionsOutOfRange { connections, max: MAX_CONNECTIONS_PER_SERVER },
+        );
     }
     let durations =
         [("attempt_ms", budget.attempt_ms), ("turn_ms", budget.rotation_ms), ("idle_ms", budget.idle_ms)];
@@ -51,9 +55,9 @@
         push(field, PolicyProblem::AboveMaximum { value, max: MAX_DURATION_MS });
     }
     if budget.attempt_ms == 0 {
-        push("attempt_ms", PolicyProblem::Zero);
+        push("attempt_ms", PolicyProblem::ZeroDuration);
     } else if budget.rotation_ms == 0 {
-        push("turn_ms", PolicyProblem::Zero);
+        push("turn_ms", PolicyProblem::ZeroDuration);
     }
     if budget.idle_ms == 0 {
         push("idle_ms", PolicyProblem::ZeroIdleLimit);
--- a/crates/consensus/src/effective_rules.rs
+++ b/crates/consensus/src/effective_rules.rs
@@ -208,8 +208,8 @@
 /// come into force while gateways use those.
 ///
 /// - A server that is given a budget is such a place if gateways may open connections to it without permits. So a
-///   budget of [`MAX_CONNECTIONS`](frostgauge_connection_budget::MAX_CONNECTIONS) has to come first: it forbids nothing,
-///   and makes all gateways use permits.
+///   budget of [`MAX_CONNECTIONS_PER_SERVER`](frostgauge_connection_budget::MAX_CONNECTIONS_PER_SERVER) has to come
+///   first: it forbids nothing, and makes all gateways use permits.
 /// - A server that changes from ready to draining is not: a draining server reports that in its responses, and under
 ///   fallback rules only servers are used that confirmed that they take new work. A server that is removed, or changes
 ///   its address, without draining first is such a place.
--- a/crates/consensus/src/permit_issuer/allocation.rs
+++ b/crates/consensus/src/permit_issuer/allocation.rs
@@ -102,7 +102,7 @@
             group_demand.by_tenant.entry(tenant.clone()).or_default().insert(*gateway, *tenant_demand);
         }
         for (group, peak) in &last.report.group_peaks {
-            demand.entry(group.clone()).or_default().by_gateway.insert(*gateway, *peak);
+            demand.entry(group.clone()).or_default().peak_by_gateway.insert(*gateway, *peak);
         }
     }
     demand
--- a/crates/consensus/src/permit_state.rs
+++ b/crates/consensus/src/permit_state.rs
@@ -160,7 +160,7 @@
             PermitChange::GatewayLeft { gateway, incarnation } => {
                 if self.ledger.incarnation(gateway) == Some(incarnation) {
                     self.end_round(gateway);
-                    self.ledger.process_left(gateway);
+                    self.ledger.process_drained(gateway);
                 }
             }
             PermitChange::Attested { voter, nonce, gateway, round, attestation } => {
@@ -280,7 +280,7 @@
             let BudgetScope::Server(name) = &scope else { continue };
             match capacities.get(name.as_str()) {
                 // The server has no budget any more, so gateways connect without permits. If it is to have one again, a
-                // version with a budget of `MAX_CONNECTIONS` must come first, as for any server without one.
+                // version with a budget of `MAX_CONNECTIONS_PER_SERVER` must come first, as for any server without one.
                 Some(None) => self.ledger.remove(&scope),
                 Some(Some(0)) | None => self.ledger.close(&scope),
                 Some(Some(_)) => {}
--- a/crates/consensus/src/ruleset.rs
+++ b/crates/consensus/src/ruleset.rs
@@ -2,7 +2,7 @@
 
 mod validation;
 
-use frostgauge_connection_budget::{CompiledPolicy, Inventory, Policy, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{CompiledPolicy, Inventory, Policy, MAX_CONNECTIONS_PER_SERVER};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -125,17 +125,18 @@
     /// How many connections a server accepts from the whole fleet; none if the server has no budget or is unknown.
     pub fn connection_budget(&self, server: &str) -> Option<u32> {
         let zone = &self.servers.get(server)?.zone;
-        self.budgets.budget_of(zone).map(|(_, budget)| budget.connections)
+        self.budgets.budget_for_zone(zone).map(|(_, budget)| budget.connections)
     }
 
-    /// The servers with a budget, by name, and whether the budget limits them. A budget of [`MAX_CONNECTIONS`] does
-    /// not: it is published before a smaller one, so that all gateways already use permits when that limits the server.
+    /// The servers with a budget, by name, and whether the budget limits them. A budget of
+    /// [`MAX_CONNECTIONS_PER_SERVER`] does not: it is published before a smaller one, so that all gateways already use
+    /// permits when that limits the server.
     pub fn budgeted_servers(&self) -> BTreeMap<String, bool> {
         if self.budgets.budgets.is_empty() {
             return BTreeMap::new();
         }
         let budgeted = self.servers.keys().filter_map(|name| Some((name, self.connection_budget(name)?)));
-        budgeted.map(|(name, connections)| (name.clone(), connections < MAX_CONNECTIONS)).collect()
+        budgeted.map(|(name, connections)| (name.clone(), connections < MAX_CONNECTIONS_PER_SERVER)).collect()
     }
 }
 
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -143,8 +143,8 @@
         if !errors.is_empty() {
             return Err(errors);
         }
-        // Half of `within_ms`, so that there is time for another term if a voter turns out to be lost just after a lease
-        // was waited for.
+        // Half of `within_ms`, so that there is time for another term if a voter turns out to be lost just after a
+        // lease was waited for.
         let lease = self.within_ms * 1_000 / 2;
         // The follower's clock may be slow and the voter's fast, each by the largest allowed drift.
         let lease_wait =
--- a/crates/consensus/tests/ruleset.rs
+++ b/crates/consensus/tests/ruleset.rs
@@ -1,7 +1,7 @@
 //! Rules and versions: which rules conflict, what fallback rules allow, which version may follow another, and how
 //! versions come into force.
 
-use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS_PER_SERVER};
 use frostgauge_consensus::{
     changed_paths, fallback_violations, find_conflicts, Class, Entry, Outcome, Plan, Proposal, Rules, Server,
     ServerState, StateMachine, Tenant, TimingSettings, Version, VersionError, RULES_FORMAT,
@@ -50,7 +50,7 @@
 
 /// A policy of one of three kinds: 0 without a budget, 1 with a budget that limits nothing, 2 with one that does.
 fn budgets(kind: u8, servers: usize) -> Policy {
-    let connections = [0, MAX_CONNECTIONS, 10][usize::from(kind)];
+    let connections = [0, MAX_CONNECTIONS_PER_SERVER, 10][usize::from(kind)];
     let (idle_ms, attempt_ms, rotation_ms) = (1_000, 1_000, 1_000);
     let budget = Budget { zone: None, connections, idle_ms, attempt_ms, rotation_ms };
     let has_budget = kind > 0 && servers > 0;
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -8,7 +8,9 @@
 mod sample;
 
 use fixture::{assert_same_files, files, hex, Files, TestFolder};
-use frostgauge_connection_budget::{BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{
+    BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS_PER_SERVER,
+};
 use frostgauge_consensus::{
     Attestation, Configuration, Entry, FieldError, GatewayId, Message, Outcome, PermitChange, Replica,
     ServerState, StateMachine, Version, VersionNumber,
@@ -150,13 +152,13 @@
         ledger.scopes().map(|(place, most)| (place.clone(), most)).collect();
     let expected = [
         (BudgetScope::server("a"), 12),
-        (BudgetScope::server("c"), MAX_CONNECTIONS),
+        (BudgetScope::server("c"), MAX_CONNECTIONS_PER_SERVER),
         (purse("north", "norte", None), 12),
         (purse("north", "sul", None), 9),
         (purse("north", "sul", Some("report")), 12),
-        (purse("rest", "norte", None), MAX_CONNECTIONS),
-        (purse("rest", "sul", None), MAX_CONNECTIONS),
-        (purse("rest", "sul", Some("report")), MAX_CONNECTIONS),
+        (purse("rest", "norte", None), MAX_CONNECTIONS_PER_SERVER),
+        (purse("rest", "sul", None), MAX_CONNECTIONS_PER_SERVER),
+        (purse("rest", "sul", Some("report")), MAX_CONNECTIONS_PER_SERVER),
     ];
     assert_eq!(places, expected);
     let slots = PermitCounts { held: 4, target: 4, fallback: 1 };
@@ -178,7 +180,7 @@
     for me in KEEPERS {
         let folder = TestFolder::copy_of(&fixture(&format!("keeper-{me}")), &format!("open-{me}"));
         let keeper = open(folder.path(), me);
-        assert_eq!((keeper.configuration(), keeper.is_voter()), (1, true));
+        assert_eq!((keeper.configuration_number(), keeper.is_voter()), (1, true));
         let machine = keeper.state_machine().expect("a record");
         assert_stored_versions(machine);
         assert_stored_slots(machine);
@@ -240,7 +242,7 @@
     journal.sync().expect("a disk that works");
     drop(journal);
     let keeper = open(folder.path(), 1);
-    assert_eq!((keeper.configuration(), keeper.is_voter()), (3, true));
+    assert_eq!((keeper.configuration_number(), keeper.is_voter()), (3, true));
     let machine = keeper.state_machine().expect("a record");
     assert_eq!(machine.outcome(1), Some(&Outcome::Numbered(2)));
     assert_eq!(machine.outcome(2), None);
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,7 +1,9 @@
 //! The settings object of the simulator's first message and of the platform's configuration file, read into the decision
 //! library's settings and those of sockets. Unknown keys are ignored.
 
-use frostgauge::{Capabilities, Class, Effect, Group, Load, Micros, Plan, Reports, Rules, Settings};
+use frostgauge::{
+    BackendLimits, Capabilities, Class, DedupScope, Effect, Load, LoadReports, Micros, Plan, Settings,
+};
 use serde_json::Value;
 
 /// A setting that is missing, of the wrong type or out of range.
@@ -129,7 +131,7 @@
         classes: root.list("classes")?.iter().map(class).collect::<Result<_, _>>()?,
         plans: root.list("plans")?.iter().map(plan).collect::<Result<_, _>>()?,
         capabilities: capabilities(&root, &limits, &family, &stats)?,
-        rules: Rules {
+        backend_limits: BackendLimits {
             answer_slack: rules.whole("graceToAnswerUs")?,
             slow_start_share: rules.number("coldFrom")?,
             slow_start_time: rules.whole("warmAfterUs")?,
@@ -152,10 +154,10 @@
 }
 
 fn class(class: &Reader) -> Result<Class, ReadError> {
-    let group = match class.text("group") {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+    let scope = match class.text("group") {
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
+        _ => DedupScope::All,
     };
     Ok(Class {
         latency_objective: class.whole("aimUs")?,
@@ -163,9 +165,9 @@
         late_weight_share: class.number("lateWorth")?,
         priority_weight: class.number("value")?,
         effect: match class.text("semantics") {
-            "retryable" => Effect::Safe,
-            "dedup" => Effect::Keyed { group, window: class.whole("windowUs")? },
-            "fragile" => Effect::Fragile,
+            "retryable" => Effect::Idempotent,
+            "dedup" => Effect::Deduplicated { scope, window: class.whole("windowUs")? },
+            "fragile" => Effect::NonIdempotent,
             _ => return Err(class.error("semantics", "is not known")),
         },
         stream: class.flag("stream"),
@@ -210,10 +212,10 @@
         clients_mark_retries: root.object("callers").is_ok_and(|callers| callers.flag("marksRetry")),
         usage_period: family.whole("meterUs").unwrap_or(0),
         settles_units: family.flag("truedUp"),
-        reports: match stats.text("how") {
-            "answers" => Reports::Answers,
-            "probe" => Reports::Probe,
-            _ => Reports::None,
+        load_reports: match stats.text("how") {
+            "answers" => LoadReports::Answers,
+            "probe" => LoadReports::Probe,
+            _ => LoadReports::None,
         },
         must_subscribe: root.text("discovery") == "ask",
     })
