--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,10 +1,12 @@
-//! One replicated record of the rules that all gateways of a fleet act under: versions, leases, connection permits. Free
-//! of network I/O; time is passed in.
+//! Replication of the rules that all gateways of a fleet act under. The replicated state, called the record, holds the
+//! versions of the rules, the progress of their rollout, and connection permits. The crate does no network I/O and
+//! reads no clock: the caller passes in messages and the current time.
 //!
-//! A few gateways, the voters, hold the record by consensus, each as a [`Replica`]; every gateway has a [`Follower`]. A
-//! follower acts under a version while it holds a lease on it from a majority of voters, and otherwise under fallback
-//! rules: the part of the rules that every version still possible allows. See `docs/consensus.md` for what is promised
-//! and what is not.
+//! A few gateways, the voters, replicate the record by consensus, each through a [`Replica`]; every gateway runs a
+//! [`Follower`]. A follower acts under a version while it holds a lease on it from a majority of voters. Without such a
+//! lease it acts under the fallback rules of the version that it stored last: a version that forbids what some gateway
+//! may still do under its fallback rules is rejected, so fallback rules conflict with no later version. The guarantees
+//! and their limits are listed in `docs/consensus.md`.
 
 mod effective_rules;
 mod follower;
--- a/crates/consensus/src/log_storage.rs
+++ b/crates/consensus/src/log_storage.rs
@@ -1,8 +1,9 @@
-//! What a voter must not forget, in memory and in a journal that is synced before anything that rests on it is sent.
+//! The state that a voter must keep across restarts, in memory and in a journal. The journal is synced before any
+//! message that depends on a change of the state is sent.
 //!
-//! The consensus library panics where its storage returns an error, so [`ConsensusLog`] never does: it records what the
-//! library writes, and [`LogStorage::flush`] makes it durable as one frame before the messages that rest on it go out.
-//! If that fails the replica stops, and nothing of the batch was sent to anyone.
+//! The consensus library panics if its storage returns an error, so [`ConsensusLog`] never returns one. It records what
+//! the library writes, and [`LogStorage::flush`] makes it durable as one frame before the messages that depend on it
+//! are sent. If that fails the replica stops, and no message of the batch has been sent.
 
 mod consensus_log;
 
@@ -14,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::io;
 
-/// The name of the journal's files.
+/// The stem of the names of the journal's files; it is part of the stored data.
 const JOURNAL_NAME: &str = "keeper";
 
 /// Why a voter's log cannot be opened or written.
@@ -24,37 +25,37 @@
     #[error(transparent)]
     Open(#[from] JournalError),
     /// A frame cannot be decoded.
-    #[error("{location}/{JOURNAL_NAME}: frame {index} is of an unknown form: {source}")]
-    UnknownFrame {
-        /// The folder.
+    #[error("{location}/{JOURNAL_NAME}: frame {index} of the journal cannot be decoded: {source}")]
+    UndecodableFrame {
+        /// The folder that holds the journal.
         location: String,
-        /// The number of the frame in the journal, from 0.
+        /// The position of the frame in the journal, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// Why decoding failed.
         source: postcard::Error,
     },
-    /// The start could not be counted.
-    #[error("{location}: {source}")]
-    CountStart {
-        /// The folder.
+    /// The incremented start count cannot be written when the journal is opened.
+    #[error("{location}/{JOURNAL_NAME}: cannot write the start count: {source}")]
+    WriteStartCount {
+        /// The folder that holds the journal.
         location: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The journal cannot be written; what of it is durable is known only to the next start.
-    #[error("the voter's journal: {0}")]
+    /// The journal cannot be written. How much of it is durable is found out when it is opened the next time.
+    #[error("cannot write the voter's journal: {0}")]
     Write(#[source] io::Error),
 }
 
-/// A frame of the journal.
+/// A frame of the journal. Frames are encoded by position: the order of variants is fixed.
 #[derive(Debug, Serialize, Deserialize)]
 enum Frame {
-    /// What a configuration begins with; everything before it is obsolete.
+    /// The beginning of a configuration, with an empty log; log operations before it are obsolete.
     Configuration(Configuration),
-    /// Operations on the log since.
+    /// Operations on the log of the configuration.
     Operations(Vec<Operation>),
-    /// How many times this folder was opened.
-    Starts(u64),
+    /// How many times this storage was opened.
+    StartCount(u64),
 }
 
 impl Frame {
@@ -63,28 +64,28 @@
     }
 }
 
-/// The durable state of a voter.
+/// The journal of a voter and its state in memory.
 #[derive(Debug)]
 pub(crate) struct LogStorage<S> {
     journal: Journal<S>,
     log: ConsensusLog,
     configuration: Option<Configuration>,
-    starts: u64,
-    syncs: u64,
+    start_count: u64,
+    sync_count: u64,
 }
 
 impl<S: Storage> LogStorage<S> {
-    /// Opens a folder: with what a configuration began with and the operations since, or empty.
+    /// Opens storage that is empty or holds a configuration and the operations on its log, and counts the start.
     ///
     /// # Errors
-    /// The folder cannot be read or written, or is damaged: with file and place.
+    /// The storage cannot be read or written, or is damaged; the error says where.
     pub(crate) fn open(storage: S) -> Result<LogStorage<S>, LogStorageError> {
         let location = storage.location();
         let (journal, contents) = Journal::open(storage, JOURNAL_NAME)?;
-        let (mut configuration, mut state, mut starts) = (None, LogState::default(), 0);
+        let (mut configuration, mut state, mut start_count) = (None, LogState::default(), 0);
         for (index, bytes) in contents.frames.iter().enumerate() {
             let frame = postcard::from_bytes::<Frame>(bytes).map_err(|source| {
-                LogStorageError::UnknownFrame { location: location.clone(), index, source }
+                LogStorageError::UndecodableFrame { location: location.clone(), index, source }
             })?;
             match frame {
                 Frame::Configuration(stored) => {
@@ -94,56 +95,57 @@
                 Frame::Operations(operations) => {
                     operations.into_iter().for_each(|operation| state.apply(operation));
                 }
-                Frame::Starts(stored) => starts = stored,
+                Frame::StartCount(stored) => start_count = stored,
             }
         }
-        starts += 1;
+        start_count += 1;
         let log = ConsensusLog::new(state);
-        let mut opened = LogStorage { journal, log, configuration, starts, syncs: 1 };
-        opened.write_starts().map_err(|source| LogStorageError::CountStart { location, source })?;
+        let mut opened = LogStorage { journal, log, configuration, start_count, sync_count: 1 };
+        opened.write_start_count().map_err(|source| LogStorageError::WriteStartCount { location, source })?;
         Ok(opened)
     }
 
-    fn write_starts(&mut self) -> io::Result<()> {
-        self.journal.append(&Frame::Starts(self.starts).to_bytes())?;
+    fn write_start_count(&mut self) -> io::Result<()> {
+        self.journal.append(&Frame::StartCount(self.start_count).to_bytes())?;
         self.journal.sync()
     }
 
-    /// How many times this folder was opened, this time included.
-    pub(crate) fn starts(&self) -> u64 {
-        self.starts
+    /// How many times this storage was opened, this time included.
+    pub(crate) fn start_count(&self) -> u64 {
+        self.start_count
     }
 
-    /// What the present configuration began with; none if the folder was empty.
+    /// The beginning of the current configuration, with its snapshot of the record; none if the storage is empty.
     pub(crate) fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// The log, to be shared with the consensus library.
+    /// A handle to the log, to be shared with the consensus library.
     pub(crate) fn log(&self) -> ConsensusLog {
         self.log.clone()
     }
 
-    /// Syncs so far.
-    pub(crate) fn syncs(&self) -> u64 {
-        self.syncs
+    /// Syncs to disk since the storage was opened, that of the opening included.
+    pub(crate) fn sync_count(&self) -> u64 {
+        self.sync_count
     }
 
-    /// Begins a configuration with an empty log: durable when it returns.
+    /// Begins a configuration with an empty log; it is durable when this returns.
     ///
     /// # Errors
     /// The journal cannot be written.
     pub(crate) fn begin(&mut self, configuration: Configuration) -> Result<(), LogStorageError> {
         self.log = ConsensusLog::default();
-        let starts = Frame::Starts(self.starts).to_bytes();
-        let frames = [starts, Frame::Configuration(configuration.clone()).to_bytes()];
+        let start_count = Frame::StartCount(self.start_count).to_bytes();
+        let frames = [start_count, Frame::Configuration(configuration.clone()).to_bytes()];
         self.journal.replace(&frames).map_err(LogStorageError::Write)?;
-        self.syncs += 1;
+        self.sync_count += 1;
         self.configuration = Some(configuration);
         Ok(())
     }
 
-    /// Makes all recorded operations durable; a journal longer than `max_journal_bytes` is rewritten.
+    /// Makes all recorded operations durable. If the journal is longer than `max_journal_bytes`, it is replaced by a
+    /// compact one with the same state.
     ///
     /// # Errors
     /// The journal cannot be written.
@@ -153,10 +155,10 @@
         if operations.is_empty() {
             return Ok(());
         }
-        self.syncs += 1;
+        self.sync_count += 1;
         let written = match (compacted, &self.configuration) {
             (Some(compacted), Some(configuration)) => self.journal.replace(&[
-                Frame::Starts(self.starts).to_bytes(),
+                Frame::StartCount(self.start_count).to_bytes(),
                 Frame::Configuration(configuration.clone()).to_bytes(),
                 Frame::Operations(compacted).to_bytes(),
             ]),
@@ -170,7 +172,7 @@
         self.journal.sync()
     }
 
-    /// Gives the folder back.
+    /// Returns the underlying storage.
     pub(crate) fn into_storage(self) -> S {
         self.journal.into_storage()
     }
--- a/crates/consensus/src/log_storage/consensus_log.rs
+++ b/crates/consensus/src/log_storage/consensus_log.rs
@@ -1,4 +1,4 @@
-//! The log in memory, as the consensus library reads and writes it.
+//! The log in memory: the storage that the consensus library reads and writes.
 
 use crate::state_machine::Entry;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -7,38 +7,47 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 impl omnipaxos::storage::Entry for Entry {
-    /// A log ends with a new configuration that begins with the record as it is, not by snapshots within one.
+    /// No snapshots are made within a configuration: a log is kept short by ending the configuration, and the next one
+    /// begins with a snapshot of the record.
     type Snapshot = NoSnapshot;
 }
 
-/// An operation on the log, as it is stored.
+/// An operation on the log, as stored in the journal. Operations are encoded by position: the order of variants is
+/// fixed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Operation {
     /// Append entries.
     Append(Vec<Entry>),
     /// Truncate the log to a length, then append entries.
     AppendOnPrefix(usize, Vec<Entry>),
+    /// Set the highest ballot that was promised.
     SetPromise(Ballot),
+    /// Set the number of entries known to be decided.
     SetDecided(usize),
+    /// Set the ballot in which entries were accepted last.
     SetAccepted(Ballot),
+    /// Set the consensus library's own mark for the end of a log.
     SetStopSign(Option<StopSign>),
 }
 
-/// The state of the log, and operations that are not durable yet.
+/// The state of the log, and the operations on it that are not durable yet.
 #[derive(Debug, Default)]
 pub(super) struct LogState {
     entries: Vec<Entry>,
+    /// The highest ballot that was promised.
     promise: Option<Ballot>,
+    /// The ballot in which entries were accepted last.
     accepted: Option<Ballot>,
+    /// The number of entries known to be decided.
     decided: usize,
     stop_sign: Option<StopSign>,
-    /// The index of the entry that ends this configuration.
+    /// The index of the first entry that ends this configuration.
     end_index: Option<usize>,
     unsynced: Vec<Operation>,
 }
 
 impl LogState {
-    /// Applies an operation that is durable already.
+    /// Applies an operation that is durable already, or that the caller records to be made so.
     pub(super) fn apply(&mut self, operation: Operation) {
         match operation {
             Operation::Append(entries) => self.extend(entries),
@@ -60,13 +69,13 @@
         self.entries.extend(entries);
     }
 
-    /// Applies an operation, and records it to be made durable.
+    /// Applies an operation and records it to be made durable.
     fn record(&mut self, operation: Operation) {
         self.apply(operation.clone());
         self.unsynced.push(operation);
     }
 
-    /// The whole state in as few operations as possible.
+    /// The operations that build this state from an empty log, as few as possible.
     fn compacted(&self) -> Vec<Operation> {
         let mut operations = vec![
             Operation::Append(self.entries.clone()),
@@ -79,7 +88,7 @@
     }
 }
 
-/// The log of one configuration, shared between the consensus library and its storage.
+/// The log of one configuration, shared between the consensus library and [`LogStorage`](super::LogStorage).
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ConsensusLog(Arc<Mutex<LogState>>);
 
@@ -89,21 +98,22 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, LogState> {
-        // Nothing panics while it is held; if something did, what it holds is still whole.
+        // No code that holds the lock panics; even if it did, the state would be consistent between two operations.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the end of this configuration is accepted here, decided or not.
+    /// Whether the log contains an entry that ends this configuration, decided or not.
     pub(crate) fn ends_configuration(&self) -> bool {
         self.lock().end_index.is_some()
     }
 
-    /// The number of entries.
-    pub(crate) fn entries(&self) -> usize {
+    /// The number of entries in the log.
+    pub(crate) fn entry_count(&self) -> usize {
         self.lock().entries.len()
     }
 
-    /// Operations that are not durable yet, and, if wanted, the whole state to replace all that are.
+    /// Takes the operations that are not durable yet. If `compact` is set, also returns the operations that build the
+    /// whole state, to replace those already in the journal.
     pub(super) fn take_unsynced(&self, compact: bool) -> (Vec<Operation>, Option<Vec<Operation>>) {
         let mut state = self.lock();
         let operations = std::mem::take(&mut state.unsynced);
@@ -123,7 +133,7 @@
                 StorageOp::SetDecidedIndex(index) => self.set_decided_idx(index)?,
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
                 StorageOp::SetStopsign(stop_sign) => self.set_stopsign(stop_sign)?,
-                // Never requested: logs are not compacted within a configuration.
+                // The library never requests these: logs are not compacted within a configuration.
                 StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => {}
             }
         }
@@ -135,7 +145,7 @@
     }
 
     fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        // The library flushes its empty batches now and then: at rest nothing is to be written.
+        // The library also flushes empty batches; writing those would sync the disk while nothing is proposed.
         if !entries.is_empty() {
             self.lock().record(Operation::Append(entries));
         }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,9 +1,9 @@
-//! A replica: holds the record with the other voters, and grants leases on it.
+//! A replica: replicates the record together with the other voters, and grants leases on versions of the rules.
 //!
-//! A lease needs grants of a majority of voters, and a version comes into force by attestations of a majority that
-//! none of their leases conflicts with it. The two majorities intersect, so no leader's memory, and no leader's clock,
-//! is relied on: a leader that was paused for any time and resumes finds that its grants are worth nothing by
-//! themselves.
+//! A follower needs grants from a majority of voters to hold a lease, and a version comes into force once a majority of
+//! voters have attested that none of the leases they granted conflicts with it. Any two majorities intersect, so safety
+//! depends on neither the memory nor the clock of the leader: grants of a leader that resumes after a pause, however
+//! long, are no lease without those of a majority.
 
 mod configuration;
 mod lease_granter;
@@ -31,81 +31,88 @@
 use version_activation::VersionActivation;
 use voter::{LogPosition, Voter};
 
-/// Why a replica cannot start, or must stop and start again from its storage.
+/// Why a replica cannot start, or must be stopped and opened again from its storage.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaError {
-    /// Its log cannot be opened, or not be made durable.
+    /// The log cannot be opened, or cannot be made durable.
     #[error(transparent)]
     Storage(#[from] LogStorageError),
-    /// The snapshot that its configuration began with cannot be read.
-    #[error("the record: {0}")]
+    /// The snapshot of the record that the configuration began with cannot be decoded.
+    #[error("the snapshot of the record is rejected: {0}")]
     Snapshot(#[from] SnapshotError),
-    /// The consensus library rejects the configuration.
-    #[error("accord.keepers: {0}")]
+    /// The consensus library rejects the configuration of voters.
+    #[error("accord.keepers: the consensus library rejects the configuration of voters: {0}")]
     InvalidClusterConfig(String),
-    /// The consensus library found its own state impossible.
-    #[error("the consensus found its own state impossible")]
+    /// The consensus library panicked on a message: its state violates one of its invariants.
+    #[error("the consensus library panicked on an inconsistency of its own state")]
     ConsensusPanicked,
-    /// A fleet is bootstrapped with a number of voters that is not allowed.
-    #[error("accord.keepers: {0} are named, 3, 5 or 7 may be")]
+    /// The first configuration has a number of voters that is not allowed.
+    #[error("accord.keepers: names {0} voters, must name 3, 5 or 7")]
     InvalidVoterCount(usize),
-    /// A fleet is bootstrapped with invalid rules.
+    /// The rules of the first version are invalid.
     #[error(transparent)]
     InvalidRules(#[from] FieldErrors),
-    /// The folder holds a record already.
-    #[error("there is a record already: a fleet is founded once")]
+    /// The storage to bootstrap holds a configuration already.
+    #[error("the folder holds a record already: a fleet is bootstrapped only once")]
     AlreadyBootstrapped,
 }
 
-/// Counters of a replica, for operators and checks.
+/// Counters of a replica since it was opened, for status pages and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaStats {
-    /// Requests answered with a lease.
+    /// Lease requests answered with a lease.
     pub leases_granted: u64,
-    /// Requests answered without one.
+    /// Lease requests answered without a lease.
     pub leases_withheld: u64,
-    /// Messages that were ignored: of a kind that replicas don't handle, with an invalid content, from a sender that is
-    /// not a voter, or proposals beyond the limit of pending ones. Ignored permit reports in lease requests count too.
+    /// Messages that were ignored: of a kind that replicas do not handle, with invalid content, consensus messages of
+    /// gateways that do not vote, and proposals beyond the limit of pending ones. Ignored permit reports in lease
+    /// requests count too.
     pub ignored_messages: u64,
-    /// Syncs of the storage.
+    /// Syncs of the storage to disk.
     pub syncs: u64,
 }
 
-/// What a run of decided entries changed.
+/// Which parts of the record a batch of decided entries changed.
 #[derive(Default)]
-struct Applied {
+struct AppliedChanges {
+    /// Whether anything other than connection permits changed.
     rules_changed: bool,
     permits_changed: bool,
+    /// The voters of the next configuration, if the batch ends the current one.
     next_configuration: Option<(BTreeSet<GatewayId>, Readmitted)>,
 }
 
-/// A replica of the record.
+/// A replica of the record on one gateway. It votes if the current configuration names the gateway.
 pub struct Replica<S> {
     self_id: GatewayId,
     timing: Timing,
     storage: LogStorage<S>,
     membership: Membership,
-    /// None while its storage is empty, or if the configuration does not name it.
+    /// None while the storage is empty, or if the configuration does not name this gateway.
     voter: Option<Voter>,
     sequences: PeerSequences,
+    /// None while the storage is empty.
     state_machine: Option<StateMachine>,
     lease_granter: LeaseGranter,
     activation: VersionActivation,
     permit_issuer: PermitIssuer,
     pending_proposals: PendingProposals,
     next_tick: Micros,
+    /// Ticks since the replica was opened.
     ticks: u64,
+    /// Messages to send once the log is durable, with their receivers.
     outbox: Vec<(GatewayId, Message)>,
     stats: ReplicaStats,
 }
 
 impl<S: Storage> Replica<S> {
-    /// Writes to an empty folder what the first configuration begins with: once in a fleet's lifetime, the same at
-    /// each voter. A voter that lost its storage must not be bootstrapped again: it would have forgotten what it
-    /// promised.
+    /// Writes the first configuration to empty storage. This is done once in a fleet's lifetime, with the same
+    /// arguments at each voter. A voter that lost its storage must not be bootstrapped again: it has lost its promises
+    /// to the other voters, and could contradict them.
     ///
     /// # Errors
-    /// The folder holds a record already or cannot be written, the rules are invalid, or the number of voters is.
+    /// The storage holds a configuration already or cannot be written, or the rules or the number of voters are
+    /// invalid.
     pub fn bootstrap(
         storage: S,
         voters: &BTreeSet<GatewayId>,
@@ -130,12 +137,12 @@
         Ok(storage.into_storage())
     }
 
-    /// Starts from a folder. An empty one means that it was lost, or is new: the replica does not vote before the
-    /// others have readmitted it in a new configuration. `voters`: those that the settings name; `nonce`: drawn anew
-    /// at each start.
+    /// Opens a replica on its storage. Empty storage is new or was lost: the replica then votes only after the other
+    /// voters have readmitted it by a new configuration. `voters` are those that the settings name, and `nonce` is
+    /// drawn at random for each start.
     ///
     /// # Errors
-    /// The folder is damaged, with file and place.
+    /// The storage cannot be read or written, or is damaged; the error says where.
     pub fn open(
         now: Micros,
         self_id: GatewayId,
@@ -163,55 +170,55 @@
         };
         if let Some(configuration) = replica.storage.configuration().cloned() {
             replica.enter_configuration(&configuration)?;
-            replica.settle(now)?;
+            replica.apply_and_notify(now)?;
         }
         Ok(replica)
     }
 
-    /// The record as this replica knows it to be agreed on; none while its storage is empty.
+    /// The record with all entries that this replica knows to be decided; none while its storage is empty.
     pub fn state_machine(&self) -> Option<&StateMachine> {
         self.state_machine.as_ref()
     }
 
     /// The number of the configuration that this replica is in, from 1; 0 if its storage holds none.
     pub fn configuration_number(&self) -> u32 {
-        self.membership.configuration
+        self.membership.configuration_number
     }
 
-    /// Sets the time of day, minutes from midnight UTC: some conditions of budgets depend on it.
+    /// Sets the time of day, in minutes since midnight UTC, for conditions of connection budgets that depend on it.
     pub fn set_minute_of_day(&mut self, minute: u16) {
         self.permit_issuer.set_minute_of_day(minute);
     }
 
-    /// Whether it votes.
+    /// Whether this replica votes in the current configuration.
     pub fn is_voter(&self) -> bool {
         self.voter.is_some()
     }
 
-    /// Its counters.
+    /// Counters since the replica was opened.
     pub fn stats(&self) -> ReplicaStats {
-        ReplicaStats { syncs: self.storage.syncs(), ..self.stats }
+        ReplicaStats { syncs: self.storage.sync_count(), ..self.stats }
     }
 
-    /// Whether it is the current leader, as far as it knows.
+    /// Whether this replica is the leader, as far as it knows.
     pub fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
-    /// Gives the folder back.
+    /// Ends the replica and returns its storage, from which it can be opened again.
     pub fn into_storage(self) -> S {
         self.storage.into_storage()
     }
 
-    /// When [`Replica::advance`] is due.
+    /// The time at which [`Replica::advance`] is to be called next.
     pub fn next_wake(&self) -> Micros {
         self.next_tick
     }
 
-    /// Takes a message from a gateway whose identity the peer connection has authenticated.
+    /// Handles a message from a gateway whose identity the peer connection has authenticated.
     ///
     /// # Errors
-    /// The replica must start again from its storage.
+    /// The replica must be dropped and opened again from its storage.
     pub fn handle(&mut self, now: Micros, from: GatewayId, message: Message) -> Result<(), ReplicaError> {
         match message {
             Message::LeaseRequest(request) => self.handle_lease_request(now, from, &request),
@@ -219,7 +226,7 @@
                 let position = LogPosition::from_wire(log_position);
                 self.handle_paxos(from, configuration, sequence, position, *message)?;
             }
-            Message::Behind { configuration } if configuration < self.membership.configuration => {
+            Message::Behind { configuration } if configuration < self.membership.configuration_number => {
                 self.send_configuration(from);
             }
             Message::Install(configuration) => return self.install_configuration(now, *configuration),
@@ -232,18 +239,19 @@
             }
             _ => self.stats.ignored_messages += 1,
         }
-        self.settle(now)
+        self.apply_and_notify(now)
     }
 
-    /// Ticks, if it is time.
+    /// Runs one tick if it is due: elections, retransmission, expiry, and proposals of its own.
     ///
     /// # Errors
-    /// The replica must start again from its storage.
+    /// The replica must be dropped and opened again from its storage.
     pub fn advance(&mut self, now: Micros) -> Result<(), ReplicaError> {
         if now < self.next_tick {
             return Ok(());
         }
-        // After a pause one tick, not all that were missed: the others were not silent, this one was.
+        // After a pause only one tick runs, not all that were missed: they would count as silence of the other voters,
+        // when it was this process that did not run.
         self.next_tick = now + self.timing.tick;
         self.ticks += 1;
         if let Some(voter) = &mut self.voter {
@@ -254,21 +262,23 @@
         let stale_after = STALE_LEASE_TERMS * self.timing.lease_wait;
         self.lease_granter.remove_stale(now, now.saturating_sub(stale_after));
         self.pending_proposals.remove_expired(now, stale_after);
-        self.settle(now)?;
+        self.apply_and_notify(now)?;
         self.propose_as_leader(now);
         self.propose_permit_changes(now);
-        self.settle(now)
+        self.apply_and_notify(now)
     }
 
-    /// Makes what was decided durable; only what it returns may be sent.
+    /// Makes all changes of the log durable, and returns the messages that may then be sent, with their receivers.
     ///
     /// # Errors
-    /// The replica must start again from its storage, and nothing may be sent.
+    /// The log could not be written. The replica must be dropped and opened again from its storage, and none of its
+    /// pending messages may be sent.
     pub fn flush(&mut self) -> Result<Vec<(GatewayId, Message)>, ReplicaError> {
         self.storage.flush(self.timing.max_journal_bytes)?;
         Ok(std::mem::take(&mut self.outbox))
     }
 
+    /// Proposes an entry for the log, if this replica votes.
     fn append(&mut self, entry: Entry) {
         if let Some(voter) = &mut self.voter {
             voter.append(entry);
@@ -283,20 +293,20 @@
         sender_position: LogPosition,
         message: PaxosMessage<Entry>,
     ) -> Result<(), ReplicaError> {
-        if configuration < self.membership.configuration {
-            // Also to one that was a voter, and was away when that ended.
+        if configuration < self.membership.configuration_number {
+            // Sent to former voters as well: one that was down when its configuration ended is still in it.
             self.send_configuration(from);
             return Ok(());
         }
-        if self.membership.is_stranger(from) {
+        if self.membership.is_non_voter(from) {
             self.stats.ignored_messages += 1;
             return Ok(());
         }
         if !self.sequences.accept(from, sequence, self.ticks) {
             return Ok(());
         }
-        if configuration > self.membership.configuration {
-            let behind = Message::Behind { configuration: self.membership.configuration };
+        if configuration > self.membership.configuration_number {
+            let behind = Message::Behind { configuration: self.membership.configuration_number };
             self.outbox.push((from, behind));
             return Ok(());
         }
@@ -307,8 +317,9 @@
         Ok(())
     }
 
-    /// Applies what is decided, and takes what the consensus library wants to send.
-    fn settle(&mut self, now: Micros) -> Result<(), ReplicaError> {
+    /// Applies the decided entries and queues the messages that result. If one of them ends the configuration, the next
+    /// is begun, and the entries already decided in that are applied too.
+    fn apply_and_notify(&mut self, now: Micros) -> Result<(), ReplicaError> {
         while self.voter.is_some() {
             let applied = self.apply_decided();
             self.send_paxos_messages();
@@ -326,8 +337,9 @@
         Ok(())
     }
 
-    fn apply_decided(&mut self) -> Applied {
-        let mut applied = Applied::default();
+    /// Applies the entries decided since the last call, and notifies the clients whose proposals are among them.
+    fn apply_decided(&mut self) -> AppliedChanges {
+        let mut applied = AppliedChanges::default();
         let entries = self.voter.as_mut().map(Voter::take_decided).unwrap_or_default();
         for entry in entries {
             match &entry {
@@ -355,32 +367,34 @@
     fn send_paxos_messages(&mut self) {
         let Some(voter) = &mut self.voter else { return };
         let log_position = voter.log_position().to_wire();
-        let configuration = self.membership.configuration;
+        let configuration = self.membership.configuration_number;
         for (to, message) in voter.take_outgoing() {
-            let sequence = self.sequences.next_sent(self.storage.starts());
+            let sequence = self.sequences.next_sent(self.storage.start_count());
             let message = Box::new(message);
             self.outbox.push((to, Message::Paxos { configuration, sequence, log_position, message }));
         }
     }
 
-    /// Rules, membership or rollout have changed: followers that were heard lately are to request anew.
+    /// After a change of rules, membership or rollout: notifies the followers that sent a request within the last lease
+    /// term, so that they request a lease again.
     fn record_changed(&mut self, now: Micros) {
         self.lease_granter.record_changed();
         let Some(machine) = &self.state_machine else { return };
         self.activation.record_changed(now, machine);
         let since = now.saturating_sub(self.timing.lease);
-        let followers = self.lease_granter.followers_heard_since(since);
+        let followers = self.lease_granter.followers_active_since(since);
         self.outbox.extend(followers.map(|follower| (follower, Message::RecordChanged)));
     }
 
-    /// Permits alone have changed: only those whose permits did are to request anew.
+    /// After a change of permits alone: notifies only the gateways whose permits changed, so that they request again.
     fn notify_permit_holders(&mut self) {
         let Some(machine) = &self.state_machine else { return };
         let gateways = self.permit_issuer.gateways_to_notify(machine);
         self.outbox.extend(gateways.into_iter().map(|gateway| (gateway, Message::RecordChanged)));
     }
 
-    /// Attests, once it is so, that no lease granted here conflicts with the version next to come into force.
+    /// Attests that no unexpired lease granted by this voter conflicts with the version next to come into force, once
+    /// that is the case.
     fn attest_cleared_leases(&mut self, now: Micros) {
         let Some(machine) = &self.state_machine else { return };
         let may_attest = self.voter.is_some();
--- a/crates/consensus/src/replica/configuration.rs
+++ b/crates/consensus/src/replica/configuration.rs
@@ -1,4 +1,4 @@
-//! Entering, ending and passing on configurations of voters.
+//! Transitions between configurations of voters: entering one, beginning the next, and sending it to peers.
 
 use super::membership::Readmitted;
 use super::voter::Voter;
@@ -11,7 +11,8 @@
 use std::collections::BTreeSet;
 
 impl<S: Storage> Replica<S> {
-    /// Takes its place in a configuration, if it has one.
+    /// Enters a configuration whose beginning is in storage: loads its snapshot of the record, and votes in it if it
+    /// names this gateway.
     pub(super) fn enter_configuration(&mut self, configuration: &Configuration) -> Result<(), ReplicaError> {
         self.membership.enter(configuration);
         self.state_machine = Some(StateMachine::from_bytes(&configuration.snapshot)?);
@@ -23,15 +24,18 @@
         Ok(())
     }
 
+    /// Stores the beginning of a configuration with an empty log, and enters it.
     fn begin_configuration(&mut self, now: Micros, configuration: Configuration) -> Result<(), ReplicaError> {
         if self.membership.majorities_change(&configuration) {
-            // Majorities of other voters need not intersect with this; and what was granted before is not known.
+            // Majorities of the old and the new voters need not intersect, and this replica does not know the leases
+            // that other voters granted before.
             self.lease_granter.quarantine_until(now + self.timing.quarantine);
         }
         self.storage.begin(configuration.clone())?;
         self.enter_configuration(&configuration)
     }
 
+    /// Handles the beginning of a configuration that a peer sent: enters it if it is a later one that it may enter.
     pub(super) fn install_configuration(
         &mut self,
         now: Micros,
@@ -43,7 +47,8 @@
         self.begin_configuration(now, configuration)
     }
 
-    /// The configuration has ended: the next begins with the record as it is.
+    /// Begins the next configuration after the current one has ended. Its snapshot is the record as applied so far, and
+    /// it is sent at once to all voters of both configurations.
     pub(super) fn begin_next_configuration(
         &mut self,
         now: Micros,
@@ -51,30 +56,33 @@
         newly_readmitted: Readmitted,
     ) -> Result<(), ReplicaError> {
         let Some(machine) = &self.state_machine else { return Ok(()) };
-        // By which nonce each was last readmitted: one that hears late of a loss must not readmit it again.
+        // The nonce by which each voter was last readmitted is kept, so that a delayed message about that loss of
+        // storage does not readmit the voter again.
         let mut readmitted = self.storage.configuration().map(|c| c.readmitted.clone()).unwrap_or_default();
         readmitted.extend(newly_readmitted);
         readmitted.retain(|voter, _| voters.contains(voter));
-        let number = self.membership.configuration + 1;
+        let number = self.membership.configuration_number + 1;
         let configuration = Configuration { number, voters, readmitted, snapshot: machine.to_bytes() };
         let mut peers: BTreeSet<GatewayId> = &configuration.voters | &self.membership.voters;
         peers.remove(&self.self_id);
         self.begin_configuration(now, configuration)?;
         for peer in peers {
-            self.membership.forget_sent(peer);
+            self.membership.clear_resend_delay(peer);
             self.send_configuration(peer);
         }
         Ok(())
     }
 
-    /// Sends what this configuration began with, not too often.
+    /// Sends the beginning of the current configuration, with its snapshot, unless it was sent to this peer a short
+    /// while ago.
     pub(super) fn send_configuration(&mut self, to: GatewayId) {
         let Some(configuration) = self.storage.configuration() else { return };
-        if self.membership.send_is_due(to, self.ticks) {
+        if self.membership.mark_sent_if_due(to, self.ticks) {
             self.outbox.push((to, Message::Install(Box::new(configuration.clone()))));
         }
     }
 
+    /// Asks the other voters to readmit this replica, whose storage is empty.
     pub(super) fn report_lost_storage(&mut self) {
         let nonce = self.membership.nonce;
         for peer in self.membership.voters.iter().filter(|voter| **voter != self.self_id) {
@@ -82,6 +90,8 @@
         }
     }
 
+    /// Handles a gateway's report that its storage is empty: it is recorded, so that the leader proposes a
+    /// configuration that readmits the gateway. If the current configuration did so already, it is sent to the gateway.
     pub(super) fn handle_storage_lost(&mut self, from: GatewayId, nonce: u64) {
         if !self.membership.has_configuration() {
             return;
@@ -93,12 +103,13 @@
         }
     }
 
+    /// Proposes the end of this configuration if that is due and no such entry is in the log yet.
     pub(super) fn propose_next_configuration(&mut self) {
         let log = self.storage.log();
         let Some(current) = self.storage.configuration().filter(|_| !log.ends_configuration()) else {
             return;
         };
-        let log_is_long = log.entries() > self.timing.max_log_entries;
+        let log_is_long = log.entry_count() > self.timing.max_log_entries;
         if let Some(entry) = self.membership.next_configuration(current, log_is_long) {
             self.append(entry);
         }
--- a/crates/consensus/src/replica/leases.rs
+++ b/crates/consensus/src/replica/leases.rs
@@ -1,4 +1,4 @@
-//! The leases that one voter granted: on which versions, to whom, and when the last of them has surely expired.
+//! The leases that one voter has granted to followers: on which versions, and by when each has expired.
 
 use crate::message::LeaseRequest;
 use crate::ruleset::GatewayId;
@@ -6,35 +6,40 @@
 use crate::version::VersionNumber;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Different leases of one follower at a time; beyond this none is granted.
+/// Largest number of unexpired leases on different sets of versions that one follower may have.
 const MAX_LEASES_PER_FOLLOWER: usize = 8;
-/// The sequence of leases granted to earlier incarnations: no request of the present one narrows or extends them.
+/// The sequence that leases of earlier incarnations get, so that no request of the present one narrows or extends them.
 const EARLIER_INCARNATION: u64 = u64::MAX;
 
 #[derive(Clone, Debug)]
 struct Lease {
     versions: BTreeSet<VersionNumber>,
-    /// The newest request that it was granted to.
+    /// The sequence of the newest request that it was granted to.
     sequence: u64,
+    /// On this voter's clock; the follower's lease ends earlier, even if both clocks drift.
     expires_at: Micros,
 }
 
+/// The leases of one follower, with the incarnation, sequence and time of its last request.
 #[derive(Clone, Debug, Default)]
 struct FollowerLeases {
     incarnation: u64,
     sequence: u64,
     leases: Vec<Lease>,
-    last_heard: Micros,
+    last_request_at: Micros,
 }
 
-/// The leases of a voter. They are lost with its process: see [`Timing::quarantine`](crate::Timing::quarantine).
+/// All leases of one voter, by follower. They are kept in memory only; a voter that has restarted waits for
+/// [`Timing::quarantine`](crate::Timing::quarantine) instead.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leases(BTreeMap<GatewayId, FollowerLeases>);
 
 impl Leases {
-    /// Records a request; false if a later one was received before: it gets no response.
+    /// Records a request. Returns false if it, or a later one of the same incarnation, was received before; it then
+    /// gets no response.
     ///
-    /// What an earlier incarnation was granted stays until it expires: that its process has ended is its own claim.
+    /// Leases of an earlier incarnation stay until they expire: a request of another incarnation does not prove that
+    /// the earlier process has ended.
     pub(crate) fn record_request(&mut self, now: Micros, from: GatewayId, request: &LeaseRequest) -> bool {
         let follower = self.0.entry(from).or_default();
         let is_same_incarnation = request.incarnation == follower.incarnation;
@@ -45,17 +50,18 @@
         if is_same_incarnation {
             follower.narrow(request);
         } else {
-            // Requests of another incarnation are counted anew. A late request of the earlier one is a change of
-            // incarnation too: it makes this table overstate what is leased, never understate it.
+            // Sequences of another incarnation start anew. A delayed request of the earlier incarnation counts as a
+            // change too: with it the table may hold more leases than are in use, but never fewer.
             follower.leases.iter_mut().for_each(|lease| lease.sequence = EARLIER_INCARNATION);
         }
         follower.incarnation = request.incarnation;
         follower.sequence = request.sequence;
-        follower.last_heard = now;
+        follower.last_request_at = now;
         true
     }
 
-    /// Grants a lease to the last recorded request; false if the follower has too many different ones.
+    /// Grants a lease in reply to the follower's last recorded request. Returns false if the follower has too many
+    /// different leases.
     pub(crate) fn grant(
         &mut self,
         to: GatewayId,
@@ -78,7 +84,7 @@
         true
     }
 
-    /// Leases that have not expired: the follower, and the versions.
+    /// The unexpired leases, each as the follower and the versions leased.
     pub(crate) fn unexpired(
         &self,
         now: Micros,
@@ -89,25 +95,26 @@
         })
     }
 
-    /// Followers that sent a request since a time.
-    pub(crate) fn followers_heard_since(&self, since: Micros) -> impl Iterator<Item = GatewayId> + '_ {
-        let heard = self.0.iter().filter(move |(_, follower)| follower.last_heard >= since);
-        heard.map(|(gateway, _)| *gateway)
+    /// Followers whose last recorded request came at or after a time.
+    pub(crate) fn followers_active_since(&self, since: Micros) -> impl Iterator<Item = GatewayId> + '_ {
+        let active = self.0.iter().filter(move |(_, follower)| follower.last_request_at >= since);
+        active.map(|(gateway, _)| *gateway)
     }
 
-    /// Drops followers not heard since a time that hold no lease.
+    /// Drops followers that sent no request since `since` and hold no lease at `now`.
     pub(crate) fn remove_stale(&mut self, now: Micros, since: Micros) {
         self.0.retain(|_, follower| {
-            follower.last_heard >= since || follower.leases.iter().any(|lease| lease.expires_at > now)
+            follower.last_request_at >= since || follower.leases.iter().any(|lease| lease.expires_at > now)
         });
     }
 }
 
 impl FollowerLeases {
-    /// The follower uses leases of earlier requests only within these versions too.
+    /// Adds the versions of the request's narrowing to the leases of requests before it: the follower uses those leases
+    /// only for what these versions allow too.
     fn narrow(&mut self, request: &LeaseRequest) {
-        let Some((before, versions)) = &request.narrowed else { return };
-        for lease in self.leases.iter_mut().filter(|lease| lease.sequence < *before) {
+        let Some((before_sequence, versions)) = &request.narrowed else { return };
+        for lease in self.leases.iter_mut().filter(|lease| lease.sequence < *before_sequence) {
             lease.versions.extend(versions);
         }
     }
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -1,31 +1,34 @@
-//! Which gateways vote, and when a configuration of voters is to be replaced by the next.
+//! The voters of the current configuration, and the reasons to replace it by the next one.
 
 use crate::message::Configuration;
 use crate::ruleset::GatewayId;
 use crate::state_machine::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A configuration is sent to one peer no more often than this many ticks.
-const RESEND_CONFIGURATION_TICKS: u64 = 5;
+/// Least number of ticks between two sendings of the configuration to the same peer, and between two reports of lost
+/// storage.
+const CONFIGURATION_RESEND_TICKS: u64 = 5;
 
-/// Voters that enter a configuration with empty storage, by the nonce that each drew at its start.
+/// Voters that enter a configuration with empty storage, each with the nonce that its process drew at its start.
 pub(crate) type Readmitted = BTreeMap<GatewayId, u64>;
 
-/// Whether a configuration may have so many voters.
+/// Whether a configuration may have this number of voters.
 pub(crate) fn is_valid_voter_count(voters: usize) -> bool {
     matches!(voters, 3 | 5 | 7)
 }
 
-/// What a replica knows of the configuration it is in, and of voters that are to enter the next.
+/// The configuration that a replica is in, and the voters that are to enter the next one.
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// The number of the configuration, from 1; 0 if its storage is empty.
-    pub(crate) configuration: u32,
-    /// Drawn at the start: what the other voters readmit it by if its storage is empty.
+    pub(crate) configuration_number: u32,
+    /// Drawn at random when the replica is opened. The other voters readmit it by this nonce if its storage is empty.
     pub(crate) nonce: u64,
-    /// Voters of the configuration; those named by the settings before it is in one.
+    /// The voters of the configuration; those that the settings name while the storage is empty.
     pub(crate) voters: BTreeSet<GatewayId>,
+    /// Gateways that reported empty storage, with the nonce of the last report.
     storage_lost: BTreeMap<GatewayId, u64>,
+    /// The voters that an operator requested last.
     requested_voters: Option<BTreeSet<GatewayId>>,
     configuration_sent_at_tick: BTreeMap<GatewayId, u64>,
 }
@@ -33,7 +36,7 @@
 impl Membership {
     pub(crate) fn new(voters: BTreeSet<GatewayId>, nonce: u64) -> Membership {
         Membership {
-            configuration: 0,
+            configuration_number: 0,
             nonce,
             voters,
             storage_lost: BTreeMap::new(),
@@ -42,73 +45,74 @@
         }
     }
 
-    /// Whether it has entered a configuration.
+    /// Whether the replica has entered a configuration.
     pub(crate) fn has_configuration(&self) -> bool {
-        self.configuration > 0
+        self.configuration_number > 0
     }
 
-    /// Whether messages between voters of this sender are ignored.
-    pub(crate) fn is_stranger(&self, gateway: GatewayId) -> bool {
+    /// Whether a gateway is known not to vote in the current configuration, so that its consensus messages are ignored.
+    pub(crate) fn is_non_voter(&self, gateway: GatewayId) -> bool {
         self.has_configuration() && !self.voters.contains(&gateway)
     }
 
-    /// Enters a configuration.
+    /// Records the number and the voters of a configuration that the replica enters.
     pub(crate) fn enter(&mut self, configuration: &Configuration) {
-        self.configuration = configuration.number;
+        self.configuration_number = configuration.number;
         self.voters = configuration.voters.clone();
     }
 
-    /// Whether a configuration that a peer sent may be entered. With empty storage, one that this replica may have
-    /// voted in before is not to be entered again.
+    /// Whether a configuration that a peer sent may be entered: it must be later than the current one. A replica with
+    /// empty storage may also have voted in it before and lost its promises; it enters it as a voter only if the
+    /// configuration readmitted it by its present nonce.
     pub(crate) fn may_enter(&self, self_id: GatewayId, configuration: &Configuration) -> bool {
         let is_readmitted = configuration.readmitted.get(&self_id) == Some(&self.nonce);
         let may_have_voted =
             !self.has_configuration() && !is_readmitted && configuration.voters.contains(&self_id);
-        configuration.number > self.configuration && !may_have_voted
+        configuration.number > self.configuration_number && !may_have_voted
     }
 
-    /// Whether majorities in that configuration need not intersect with those known here.
+    /// Whether a majority in `configuration` may share no voter with a majority in the current one.
     pub(crate) fn majorities_change(&self, configuration: &Configuration) -> bool {
         !self.has_configuration() || configuration.voters != self.voters
     }
 
-    /// An operator asks for other voters.
+    /// Records the voters that an operator requests for the next configuration.
     pub(crate) fn request_voters(&mut self, voters: BTreeSet<GatewayId>) {
         self.requested_voters = Some(voters);
     }
 
-    /// A voter reports that its storage is empty.
+    /// Records a gateway's report that its storage is empty.
     pub(crate) fn record_storage_lost(&mut self, voter: GatewayId, nonce: u64) {
         self.storage_lost.insert(voter, nonce);
     }
 
-    /// Whether the configuration is to be sent to a peer now, which is noted.
-    pub(crate) fn send_is_due(&mut self, peer: GatewayId, now_tick: u64) -> bool {
+    /// Returns whether the configuration may be sent to a peer at this tick, and if so, records it as sent.
+    pub(crate) fn mark_sent_if_due(&mut self, peer: GatewayId, now_tick: u64) -> bool {
         let sent = self.configuration_sent_at_tick.get(&peer);
-        let is_due = sent.is_none_or(|at| now_tick >= at + RESEND_CONFIGURATION_TICKS);
+        let is_due = sent.is_none_or(|at| now_tick >= at + CONFIGURATION_RESEND_TICKS);
         if is_due {
             self.configuration_sent_at_tick.insert(peer, now_tick);
         }
         is_due
     }
 
-    /// The next configuration is sent to this peer at once.
-    pub(crate) fn forget_sent(&mut self, peer: GatewayId) {
+    /// Lets the next configuration be sent to a peer without delay.
+    pub(crate) fn clear_resend_delay(&mut self, peer: GatewayId) {
         self.configuration_sent_at_tick.remove(&peer);
     }
 
-    /// The tick at which a replica with empty storage reports that to its peers.
+    /// Whether, at this tick, a replica with empty storage reports that to its peers.
     pub(crate) fn reports_lost_storage_at(&self, tick: u64) -> bool {
-        !self.has_configuration() && tick % RESEND_CONFIGURATION_TICKS == 1
+        !self.has_configuration() && tick % CONFIGURATION_RESEND_TICKS == 1
     }
 
-    /// The entry that ends this configuration, if other voters are requested and ready, one has lost its storage, or
-    /// the log has grown long.
+    /// The entry that ends this configuration, if an operator requested other voters and those that enter are ready, if
+    /// a voter has lost its storage, or if the log is long.
     ///
-    /// It is an entry like any other: the library's own sign for this, sent twice, counts twice at its receiver, and is
-    /// then never decided.
+    /// An ordinary log entry is used, not the stop sign of the consensus library: a receiver counts a stop sign that is
+    /// sent twice as two, and it is then never decided.
     pub(crate) fn next_configuration(&self, current: &Configuration, log_is_long: bool) -> Option<Entry> {
-        let lost = self.newly_lost(current);
+        let lost = self.voters_to_readmit(current);
         let requested = self.requested_voters.as_ref().filter(|requested| **requested != current.voters);
         let voters = match requested {
             Some(requested) if self.all_entering_are_ready(requested, current) => requested.clone(),
@@ -121,17 +125,17 @@
         Some(Entry::ChangeConfiguration { voters, readmitted })
     }
 
-    /// A voter that enters must be there: with empty storage of its own, by its nonce.
+    /// Whether each voter that is to enter is running: it has reported empty storage, with its nonce.
     fn all_entering_are_ready(&self, requested: &BTreeSet<GatewayId>, current: &Configuration) -> bool {
         requested.difference(&current.voters).all(|voter| self.storage_lost.contains_key(voter))
     }
 
-    /// Current voters whose storage is empty, and which have not been readmitted since.
-    fn newly_lost(&self, current: &Configuration) -> Readmitted {
-        let is_new = |voter: &GatewayId, nonce: &u64| {
+    /// Current voters that reported empty storage and have not been readmitted since, with their nonces.
+    fn voters_to_readmit(&self, current: &Configuration) -> Readmitted {
+        let is_not_readmitted = |voter: &GatewayId, nonce: &u64| {
             current.voters.contains(voter) && current.readmitted.get(voter) != Some(nonce)
         };
-        let lost = self.storage_lost.iter().filter(|(voter, nonce)| is_new(voter, nonce));
+        let lost = self.storage_lost.iter().filter(|(voter, nonce)| is_not_readmitted(voter, nonce));
         lost.map(|(voter, nonce)| (*voter, *nonce)).collect()
     }
 }
--- a/crates/consensus/src/replica/pending_proposals.rs
+++ b/crates/consensus/src/replica/pending_proposals.rs
@@ -1,24 +1,24 @@
-//! Proposals whose outcome is awaited by a client.
+//! Proposals that are not decided yet, with the clients that await their outcome.
 
 use crate::ruleset::GatewayId;
 use crate::timing::Micros;
 use std::collections::BTreeMap;
 
-/// Proposals whose outcome is awaited by a client.
+/// Largest number of proposals pending at a replica; further ones are ignored.
 const MAX_PENDING_PROPOSALS: usize = 256;
 
-/// Who awaits the outcome of which proposal.
+/// Pending proposals by identifier: the client that sent each last, and when it was received.
 #[derive(Debug, Default)]
 pub(crate) struct PendingProposals(BTreeMap<u64, (GatewayId, Micros)>);
 
 impl PendingProposals {
-    /// Whether one more proposal with this id can be awaited.
+    /// Whether a proposal with this identifier can be added, or is pending already.
     pub(crate) fn has_capacity_for(&self, id: u64) -> bool {
         self.0.len() < MAX_PENDING_PROPOSALS || self.0.contains_key(&id)
     }
 
-    /// Records who awaits a proposal; true if it is to be appended to the log: one sent again within
-    /// `repropose_after` is still on its way.
+    /// Records the client that awaits a proposal. Returns whether the proposal is to be appended to the log: not if it
+    /// was received within `repropose_after` before, since the earlier one may still be decided.
     pub(crate) fn insert(
         &mut self,
         now: Micros,
@@ -30,12 +30,12 @@
         earlier.is_none_or(|(_, at)| now >= at + repropose_after)
     }
 
-    /// The client that awaits a proposal, which is decided now.
+    /// Removes a proposal that is decided, and returns the client that awaits its outcome.
     pub(crate) fn complete(&mut self, id: u64) -> Option<GatewayId> {
         self.0.remove(&id).map(|(client, _)| client)
     }
 
-    /// Drops proposals older than `max_age`.
+    /// Drops proposals last received `max_age` ago or longer.
     pub(crate) fn remove_expired(&mut self, now: Micros, max_age: Micros) {
         self.0.retain(|_, (_, at)| now < *at + max_age);
     }
--- a/crates/consensus/src/replica/requests.rs
+++ b/crates/consensus/src/replica/requests.rs
@@ -1,4 +1,4 @@
-//! Lease requests, proposals, and what a replica proposes itself.
+//! Handling of lease requests and of clients' proposals, and the entries that a replica proposes itself.
 
 use super::Replica;
 use crate::message::{LeaseRequest, LeaseResponse, Message};
@@ -11,6 +11,8 @@
 use std::collections::BTreeSet;
 
 impl<S: Storage> Replica<S> {
+    /// Handles a lease request: grants a lease if this replica may, and responds with the versions that the follower
+    /// lacks in either case.
     pub(super) fn handle_lease_request(&mut self, now: Micros, from: GatewayId, request: &LeaseRequest) {
         if !self.lease_granter.record_request(now, from, request) {
             return;
@@ -19,15 +21,17 @@
         self.activation.record_request(from, request, machine);
         let versions = self.lease_granter.binding_versions(from, machine);
         let expires_at = now + self.timing.lease_wait;
-        // Once the end of this configuration is accepted here, a majority of the next may count without this voter.
-        // One that does not vote any more tells who does, and grants none.
+        // Once the entry that ends this configuration is accepted here, a majority of the next configuration may act
+        // without this voter, so it grants nothing. A replica that does not vote responds too: the response names the
+        // current voters.
         let may_grant = self.voter.is_some() && !self.storage.log().ends_configuration();
         let is_granted = may_grant && self.lease_granter.grant(from, &versions, expires_at);
         let permits = self.permits_for(now, from, request, is_granted.then_some(expires_at));
         self.respond(from, request, versions, is_granted, permits);
     }
 
-    /// Records a follower's permit report, and returns its permits if it is granted a lease until `lease_expires_at`.
+    /// Records a follower's report on connection permits. Returns its permits if it is granted a lease, which expires
+    /// at `lease_expires_at`.
     fn permits_for(
         &mut self,
         now: Micros,
@@ -44,6 +48,7 @@
         self.permit_issuer.grant(follower, request.incarnation, report.seen_epoch, expires_at, machine)
     }
 
+    /// Queues the response to a lease request.
     fn respond(
         &mut self,
         follower: GatewayId,
@@ -64,7 +69,7 @@
         let response = LeaseResponse {
             incarnation: request.incarnation,
             sequence: request.sequence,
-            configuration: self.membership.configuration,
+            configuration: self.membership.configuration_number,
             voters: machine.voters().clone(),
             lease: is_granted.then_some(versions),
             fallback_version,
@@ -74,6 +79,8 @@
         self.outbox.push((follower, Message::LeaseResponse(Box::new(response))));
     }
 
+    /// Handles a client's proposal: responds at once if the outcome is known or the proposal is invalid, and otherwise
+    /// appends it to the log.
     pub(super) fn handle_proposal(&mut self, now: Micros, from: GatewayId, proposal: Proposal) {
         let id = proposal.id;
         let Some(machine) = &self.state_machine else { return };
@@ -95,6 +102,7 @@
         }
     }
 
+    /// Proposes what the rollout and the membership require, if this replica is the leader.
     pub(super) fn propose_as_leader(&mut self, now: Micros) {
         if !self.is_leader() {
             return;
@@ -105,7 +113,8 @@
         self.propose_next_configuration();
     }
 
-    /// What it attests, and while it leads proposes, about connection permits.
+    /// Proposes changes of connection permits: every voter its attestations, and the leader also reported changes and
+    /// allocations.
     pub(super) fn propose_permit_changes(&mut self, now: Micros) {
         let is_leader = self.is_leader();
         let Some(machine) = self.state_machine.as_ref().filter(|_| self.voter.is_some()) else { return };
@@ -123,12 +132,15 @@
     }
 }
 
-/// What is wrong with a proposal, apart from the record.
+/// Errors of a proposal that do not depend on the record: invalid rules, or too large an encoding.
 fn validate_proposal(proposal: &Proposal) -> Vec<FieldError> {
     let mut errors = proposal.rules.validate();
-    let bytes = postcard::to_stdvec(proposal).map_or(usize::MAX, |bytes| bytes.len());
+    let bytes = postcard::to_stdvec(proposal).map_or(usize::MAX, |encoded| encoded.len());
     if bytes > MAX_VERSION_BYTES {
-        errors.push(FieldError::new("", format!("{bytes} bytes, {MAX_VERSION_BYTES} at most")));
+        errors.push(FieldError::new(
+            "",
+            format!("the proposal has {bytes} bytes, {MAX_VERSION_BYTES} at most"),
+        ));
     }
     errors
 }
--- a/crates/consensus/src/replica/version_activation.rs
+++ b/crates/consensus/src/replica/version_activation.rs
@@ -1,5 +1,5 @@
-//! What a leader proposes so that a version takes effect everywhere: stored fallback versions, canary reports, and the
-//! withdrawal of a version that its canaries did not confirm in time.
+//! Entries that the leader proposes while versions are rolled out: reports that gateways have stored a fallback
+//! version, canary reports, and the withdrawal of a version that its canaries did not report healthy in time.
 
 use crate::message::LeaseRequest;
 use crate::ruleset::GatewayId;
@@ -8,12 +8,12 @@
 use crate::version::VersionNumber;
 use std::collections::BTreeMap;
 
-/// Gateways named in one entry.
+/// Largest number of gateways that one entry names.
 const MAX_GATEWAYS_PER_ENTRY: usize = 512;
-/// The stored reason of such a withdrawal.
+/// The reason, stored in the log, of a withdrawal because the canaries did not confirm the version in time.
 const CANARY_TIMEOUT_REASON: &str = "the canary part did not confirm it in time";
 
-/// What has been proposed, so that it is not proposed again before it can have been decided.
+/// Identifies a proposed entry, so that it is not proposed again before it can have been decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Proposed {
     FallbackStored(VersionNumber, GatewayId),
@@ -21,24 +21,27 @@
     Withdraw(VersionNumber),
 }
 
-/// Reports of followers, and what was proposed of them.
+/// Reports of followers that are not in the record yet, and the entries proposed for them.
 #[derive(Debug, Default)]
 pub(crate) struct VersionActivation {
+    /// The fallback version that each gateway reports as stored.
     stored_fallbacks: BTreeMap<GatewayId, VersionNumber>,
+    /// Whether each canary reports that it is healthy under a version.
     canary_reports: BTreeMap<(VersionNumber, GatewayId), bool>,
     proposed_at: BTreeMap<Proposed, Micros>,
-    /// Since when canaries have tried which version, as seen by this replica.
-    canary_since: Option<(VersionNumber, Micros)>,
+    /// The version that canaries try now, and when this replica saw it come into force for them.
+    canary_trial: Option<(VersionNumber, Micros)>,
 }
 
 impl VersionActivation {
-    /// A configuration is entered: what was proposed in the last one may be lost.
+    /// Clears the proposals made in the last configuration, which may be lost, and the canary trial, which
+    /// [`VersionActivation::record_changed`] restarts.
     pub(crate) fn enter_configuration(&mut self) {
-        self.canary_since = None;
+        self.canary_trial = None;
         self.proposed_at.clear();
     }
 
-    /// Records what a follower reports with its lease request.
+    /// Records the stored fallback version and the canary report in a follower's lease request.
     pub(crate) fn record_request(&mut self, from: GatewayId, request: &LeaseRequest, machine: &StateMachine) {
         if request.fallback_version > machine.fallback_of(from).unwrap_or(0) {
             self.stored_fallbacks.insert(from, request.fallback_version);
@@ -48,18 +51,18 @@
         }
     }
 
-    /// The record has changed.
+    /// Updates the canary trial after a change of the record, and drops reports on versions before the one in force.
     pub(crate) fn record_changed(&mut self, now: Micros, machine: &StateMachine) {
         let in_force = machine.in_force();
-        let is_trial = !machine.is_fully_rolled_out() && !machine.is_withdrawn(in_force);
-        let on_trial = is_trial.then_some(in_force);
-        if self.canary_since.map(|(version, _)| version) != on_trial {
-            self.canary_since = on_trial.map(|version| (version, now));
+        let is_on_trial = !machine.is_fully_rolled_out() && !machine.is_withdrawn(in_force);
+        let trial_version = is_on_trial.then_some(in_force);
+        if self.canary_trial.map(|(version, _)| version) != trial_version {
+            self.canary_trial = trial_version.map(|version| (version, now));
         }
         self.canary_reports.retain(|(version, _), _| *version >= in_force);
     }
 
-    /// Entries that the leader proposes now.
+    /// The entries that the leader is to propose now.
     pub(crate) fn propose(&mut self, now: Micros, machine: &StateMachine, timing: &Timing) -> Vec<Entry> {
         let repropose_before = now.saturating_sub(timing.tick * REPROPOSE_TICKS);
         self.proposed_at.retain(|_, at| *at > repropose_before);
@@ -71,7 +74,7 @@
 
     fn propose_stored_fallbacks(&mut self, now: Micros, machine: &StateMachine) -> Vec<Entry> {
         let is_recorded = |gateway: &GatewayId, version: &VersionNumber| {
-            machine.fallback_of(*gateway).is_some_and(|known| known >= *version)
+            machine.fallback_of(*gateway).is_some_and(|recorded| recorded >= *version)
         };
         self.stored_fallbacks.retain(|gateway, version| !is_recorded(gateway, version));
         let mut by_version: BTreeMap<VersionNumber, Vec<GatewayId>> = BTreeMap::new();
@@ -95,8 +98,8 @@
         for ((version, gateway), healthy) in &self.canary_reports {
             let (version, gateway, healthy) = (*version, *gateway, *healthy);
             let proposed = Proposed::CanaryReport(version, gateway);
-            let counts = machine.counts_canary(version, gateway, healthy);
-            if counts && !self.proposed_at.contains_key(&proposed) {
+            let is_new = machine.is_new_canary_report(version, gateway, healthy);
+            if is_new && !self.proposed_at.contains_key(&proposed) {
                 self.proposed_at.insert(proposed, now);
                 entries.push(Entry::CanaryReport { version, gateway, healthy });
             }
@@ -105,7 +108,7 @@
     }
 
     fn propose_withdrawal(&mut self, now: Micros, timing: &Timing) -> Option<Entry> {
-        let (version, _) = self.canary_since.filter(|(_, since)| now >= since + timing.canary_timeout)?;
+        let (version, _) = self.canary_trial.filter(|(_, start)| now >= start + timing.canary_timeout)?;
         let is_first = self.proposed_at.insert(Proposed::Withdraw(version), now).is_none();
         is_first.then(|| Entry::Withdraw { version, reason: CANARY_TIMEOUT_REASON.to_owned() })
     }
--- a/crates/consensus/src/state_machine/entry.rs
+++ b/crates/consensus/src/state_machine/entry.rs
@@ -1,4 +1,4 @@
-//! What the voters agree on, entry by entry, and what becomes of a proposal.
+//! Entries of the replicated log, and outcomes of proposals.
 
 use crate::permit_state::PermitChange;
 use crate::ruleset::{FieldError, GatewayId, Rules};
@@ -6,98 +6,98 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A version that a client proposes.
+/// A new version of the rules that a client proposes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Drawn by the client; a proposal that is sent again carries the same.
+    /// Identifier drawn at random by the client; a proposal that is sent again keeps it, so it is numbered only once.
     pub id: u64,
-    /// The version that it was made from.
+    /// The version whose rules the author edited; the proposal is rejected if a later one has been numbered since.
     pub base_version: VersionNumber,
     /// Who proposes it.
     pub author: String,
     /// Why it is proposed.
     pub reason: String,
-    /// When it was proposed, milliseconds since 1970 by the author's clock.
+    /// When it was proposed, in milliseconds since the Unix epoch on the author's clock.
     pub time_ms: u64,
-    /// The rules of the version.
+    /// The proposed rules.
     pub rules: Rules,
 }
 
-/// An entry of the replicated log. Entries are stored by position: their order and fields are fixed.
+/// An entry of the replicated log. Entries are encoded by position: the order of variants and fields is fixed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A version is proposed.
+    /// A client proposes a version.
     Publish(Box<Proposal>),
-    /// No unexpired lease that this voter granted conflicts with the version next to come into force.
+    /// A voter attests that no unexpired lease that it granted conflicts with the version next to come into force.
     LeasesCleared {
-        /// The voter that attests it.
+        /// The voter that attests this.
         voter: GatewayId,
-        /// The version.
+        /// The version next to come into force.
         version: VersionNumber,
     },
     /// Gateways have stored this version, or a later one, as their fallback.
     FallbackStored {
-        /// The version.
+        /// The stored version.
         version: VersionNumber,
-        /// The gateways.
+        /// The gateways that reported it.
         gateways: Vec<GatewayId>,
     },
-    /// A canary gateway reports whether it is healthy under a version.
+    /// A canary reports whether it is healthy under a version.
     CanaryReport {
-        /// The version.
+        /// The version on canary trial.
         version: VersionNumber,
-        /// The gateway.
+        /// The canary.
         gateway: GatewayId,
-        /// Whether it is healthy.
+        /// Whether the canary is healthy under the version.
         healthy: bool,
     },
-    /// A version and those numbered after it are withdrawn: a new one restores what was in force before.
+    /// A version and those numbered after it are withdrawn; a new version restores the rules that were in force before.
     Withdraw {
-        /// The version.
+        /// The first version to withdraw.
         version: VersionNumber,
-        /// Why it is withdrawn.
+        /// Why it is withdrawn; part of the reason of the restoring version.
         reason: String,
     },
     /// An operator states that a gateway's process has ended for good.
     Retire {
-        /// The gateway.
+        /// The gateway whose process has ended.
         gateway: GatewayId,
     },
     /// Changes of connection permits.
     Permits(Vec<PermitChange>),
-    /// This configuration of voters ends, and another begins; later entries of this log have no effect.
+    /// Ends this configuration of voters, and begins the next; later entries of this log have no effect.
     ChangeConfiguration {
         /// The voters of the next configuration.
         voters: BTreeSet<GatewayId>,
-        /// Those that enter it with empty storage, by the nonce that each drew.
+        /// Voters that enter it with empty storage, each with the nonce that its process drew at its start.
         readmitted: BTreeMap<GatewayId, u64>,
     },
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It became the version with this number.
+    /// Accepted as the version with this number, which is yet to come into force.
     Numbered(VersionNumber),
-    /// Another proposal came first.
+    /// Rejected: another version was numbered after the proposal's base version.
     Overtaken {
-        /// The latest version.
+        /// The newest numbered version.
         latest: VersionNumber,
-        /// Where it differs from the one that the proposal was made from.
+        /// The paths of the rules at which it differs from the proposal's base version.
         changed_paths: Vec<String>,
     },
-    /// Its rules are invalid.
+    /// Rejected: its rules are invalid at these paths, or it is too large.
     Invalid(Vec<FieldError>),
-    /// It forbids what gateways may still do under fallback rules. A version that narrows those rules must be published
-    /// first, and this one once all gateways have stored that as their fallback.
+    /// Rejected: it forbids what gateways may still do under fallback rules. A version that narrows the fallback rules
+    /// has to be published first, and this proposal again once all gateways have stored that version as their fallback.
     BreaksFallback {
-        /// The version whose fallback rules it breaks.
+        /// The version whose fallback rules allow what the proposal forbids.
         version: VersionNumber,
-        /// The gateways that may still use them.
+        /// The gateways that may still use the fallback rules of this version or an earlier one.
         held_by: Vec<GatewayId>,
-        /// Where it breaks them.
+        /// The paths of the rules at which the proposal forbids it.
         conflicts: Vec<FieldError>,
     },
-    /// Too many versions are still some gateway's fallback: how many.
+    /// Rejected: this many versions are kept already, since gateways may still use their fallback rules.
     TooManyVersions(usize),
 }
--- a/crates/consensus/src/state_machine/publication.rs
+++ b/crates/consensus/src/state_machine/publication.rs
@@ -1,13 +1,15 @@
-//! Numbering, enforcing, rolling out and withdrawing versions.
+//! The life cycle of versions: numbering, coming into force, rollout, withdrawal and dropping.
 
 use super::{Outcome, Proposal, StateMachine, MAX_VERSIONS};
 use crate::effective_rules::fallback_violations;
 use crate::ruleset::{changed_paths, FieldError, GatewayId, Rules};
 use crate::version::{Version, VersionHash, VersionNumber};
 
-/// The stored author of versions that restore another.
+/// Author of versions that restore the rules of an earlier one. It is part of their hash, so all replicas must write
+/// the same.
 const RESTORING_AUTHOR: &str = "keepers";
-/// The stored report on a version that the proposal was made from, and that is not kept any more.
+/// The only changed path of a proposal whose base version was dropped, so that the rules cannot be compared. It is part
+/// of the stored outcome, so all replicas must write the same.
 const BASE_NOT_KEPT: &str = "everything: the version it was made from is no more kept";
 
 impl StateMachine {
@@ -15,6 +17,7 @@
         self.versions.get(&number).map_or([0; 32], Version::hash)
     }
 
+    /// Adds a version with the next number, linked to the latest one by its hash.
     fn append_version(
         &mut self,
         author: String,
@@ -29,8 +32,8 @@
         number
     }
 
-    /// Numbers a proposal, or says why not.
-    pub(super) fn consider(&mut self, proposal: Proposal) -> Outcome {
+    /// Numbers a proposal as the next version, or returns why it is rejected.
+    pub(super) fn number_or_reject(&mut self, proposal: Proposal) -> Outcome {
         let latest = self.latest();
         let errors = proposal.rules.validate();
         if !errors.is_empty() {
@@ -43,8 +46,8 @@
         if self.versions.len() >= MAX_VERSIONS {
             return Outcome::TooManyVersions(self.versions.len());
         }
-        // Whatever may still be some gateway's fallback must be allowed by every version to come.
-        if let Some((version, conflicts)) = self.broken_fallback(&proposal.rules) {
+        // Every new version must allow what some gateway may still do under fallback rules.
+        if let Some((version, conflicts)) = self.find_broken_fallback(&proposal.rules) {
             let held_by = self.gateways_with_fallback_before(version + 1);
             return Outcome::BreaksFallback { version, held_by, conflicts };
         }
@@ -52,6 +55,7 @@
         Outcome::Numbered(self.append_version(author, reason, time_ms, rules))
     }
 
+    /// The paths at which the latest rules differ from those of version `base`.
     fn changed_since(&self, base: VersionNumber) -> Vec<String> {
         match (self.versions.get(&base), self.versions.get(&self.latest())) {
             (Some(base), Some(latest)) => changed_paths(&base.rules, &latest.rules),
@@ -59,8 +63,8 @@
         }
     }
 
-    /// Brings a version into force, for its canaries first if it has any.
-    pub(super) fn enforce(&mut self, next: VersionNumber) {
+    /// Brings a version into force: for its canaries only if it has any and restores no other, else for all gateways.
+    pub(super) fn bring_into_force(&mut self, next: VersionNumber) {
         let previous = if self.withdrawn.contains(&self.in_force) { self.rolled_out } else { self.in_force };
         self.cleared_voters.clear();
         self.healthy_canaries.clear();
@@ -72,24 +76,24 @@
         }
     }
 
-    /// Brings the version in force to all gateways.
+    /// Extends the version in force from its canaries to all gateways.
     pub(super) fn roll_out(&mut self) {
         self.rolled_out = self.in_force;
         self.healthy_canaries.clear();
         self.update_budgets();
         let version = self.versions.get(&self.in_force);
-        let fleet = version.map(|version| version.rules.gateways.clone()).unwrap_or_default();
-        for gateway in fleet {
-            // One that joins has the version that it joins under as its fallback, or none.
+        let gateways = version.map(|version| version.rules.gateways.clone()).unwrap_or_default();
+        for gateway in gateways {
+            // A gateway that joins the fleet by this version has no older fallback.
             self.retired.remove(&gateway);
             self.fallbacks.entry(gateway).or_insert(self.in_force);
         }
         self.drop_unused_versions();
     }
 
-    /// Records that gateways have stored a version as their fallback.
+    /// Records that gateways have stored a version as their fallback; reports by retired gateways are ignored.
     pub(super) fn record_fallbacks(&mut self, version: VersionNumber, gateways: Vec<GatewayId>) {
-        // Only what is rolled out is a fallback: what the canaries try may yet be withdrawn.
+        // Only versions that are rolled out serve as a fallback: one on canary trial may still be withdrawn.
         let version = version.min(self.rolled_out);
         for gateway in gateways {
             if !self.retired.contains(&gateway) {
@@ -100,56 +104,66 @@
         self.drop_unused_versions();
     }
 
-    /// Counts a canary's report.
-    pub(super) fn record_canary(&mut self, version: VersionNumber, gateway: GatewayId, healthy: bool) {
-        if !self.counts_canary(version, gateway, healthy) {
+    /// Records a canary's report: an unhealthy one withdraws the version, and healthy ones by more than half of the
+    /// canaries roll it out.
+    pub(super) fn record_canary_report(&mut self, version: VersionNumber, gateway: GatewayId, healthy: bool) {
+        if !self.is_new_canary_report(version, gateway, healthy) {
             return;
         }
         if !healthy {
+            // The reason becomes part of the restoring version's hash, so all replicas must write the same.
             return self.withdraw(version, &format!("gateway {gateway} fails under it"));
         }
         self.healthy_canaries.insert(gateway);
-        // Over half of the canaries: one that died, or is cut off, does not hold the fleet up.
+        // More than half is enough, so that a canary that has crashed or is disconnected does not block the rollout.
         if self.healthy_canaries.len() * 2 > self.canaries(version).len() {
             self.roll_out();
         }
     }
 
-    /// The newest version before another that is not withdrawn.
-    fn last_good_before(&self, version: VersionNumber) -> Option<VersionNumber> {
+    /// The newest version before `version` that is not withdrawn.
+    fn last_unwithdrawn_before(&self, version: VersionNumber) -> Option<VersionNumber> {
         let earlier = self.versions.range(..version).map(|(number, _)| *number);
         earlier.filter(|number| !self.withdrawn.contains(number)).max()
     }
 
-    fn lowest_fallback(&self) -> VersionNumber {
+    /// The oldest version whose fallback rules any gateway may still use.
+    fn oldest_fallback(&self) -> VersionNumber {
         self.fallbacks.values().min().copied().unwrap_or(self.in_force)
     }
 
-    /// Where rules forbid what some gateway's fallback may still allow: under which version, and where.
-    fn broken_fallback(&self, rules: &Rules) -> Option<(VersionNumber, Vec<FieldError>)> {
+    /// The first version, from the oldest fallback on, whose fallback rules allow what `rules` forbid, with the
+    /// violations. That a retired gateway is missing is not a violation.
+    fn find_broken_fallback(&self, rules: &Rules) -> Option<(VersionNumber, Vec<FieldError>)> {
         let is_retired =
             |path: &str| self.retired.iter().any(|gateway| path == format!("gateways.{gateway}"));
-        self.versions.range(self.lowest_fallback()..).find_map(|(number, version)| {
+        self.versions.range(self.oldest_fallback()..).find_map(|(number, version)| {
             let mut violations = fallback_violations(&version.rules, rules);
             violations.retain(|violation| !is_retired(&violation.path));
             (!violations.is_empty()).then_some((*number, violations))
         })
     }
 
-    /// Withdraws a version that is in force or waits to be, and those numbered after it, which were made from it (left
-    /// standing, they would wait for ever for canaries that fail): a new version restores what was in force before.
+    /// Withdraws a version that is in force or yet to come into force, and all numbered after it: they were made from
+    /// it, and would never pass their trial if its canaries fail. A new version restores the rules that were in force
+    /// before.
+    ///
+    /// Has no effect if the version is the first, is older than the one in force, or is withdrawn already, or if its
+    /// rules may be some gateway's fallback and the restored rules would forbid what that allows.
     pub(super) fn withdraw(&mut self, version: VersionNumber, reason: &str) {
         let latest = self.latest();
-        let is_known = version >= self.in_force && version <= latest;
-        if !is_known || version == 1 || self.withdrawn.contains(&version) {
+        let is_in_force_or_later = version >= self.in_force && version <= latest;
+        if !is_in_force_or_later || version == 1 || self.withdrawn.contains(&version) {
             return;
         }
         let restored = self.version_to_restore(version).and_then(|number| self.versions.get(&number));
-        let Some((restored, rules)) = restored.map(|good| (good.number, good.rules.clone())) else { return };
-        // Once it is rolled out, it may be some gateway's fallback: then restoring is a change like any other. Before
-        // that it is nobody's, see `record_fallbacks`.
+        let Some((restored, rules)) = restored.map(|version| (version.number, version.rules.clone())) else {
+            return;
+        };
+        // Once rolled out, the version may be some gateway's fallback, and the restored rules must allow what it
+        // allows, as those of any new version. Before that it is no gateway's fallback, see `record_fallbacks`.
         let may_be_fallback = version == self.in_force && self.is_fully_rolled_out();
-        if may_be_fallback && self.broken_fallback(&rules).is_some() {
+        if may_be_fallback && self.find_broken_fallback(&rules).is_some() {
             return;
         }
         self.withdrawn.extend(version..=latest);
@@ -159,19 +173,20 @@
         self.restores.insert(number);
     }
 
+    /// The version whose rules are restored when `withdrawn` is withdrawn.
     fn version_to_restore(&self, withdrawn: VersionNumber) -> Option<VersionNumber> {
         match (withdrawn == self.in_force, self.is_fully_rolled_out()) {
             (true, false) => Some(self.rolled_out),
-            (true, true) => self.last_good_before(withdrawn),
+            (true, true) => self.last_unwithdrawn_before(withdrawn),
             _ => Some(self.in_force),
         }
     }
 
-    /// Drops versions that can be nobody's fallback any more and are not in force.
+    /// Drops versions that are older than those in force, than any gateway's fallback, and than the one to restore.
     pub(super) fn drop_unused_versions(&mut self) {
-        // One before what is in force is kept too, so that it can be restored.
-        let restorable = self.last_good_before(self.in_force).unwrap_or(self.in_force);
-        let first_kept = self.lowest_fallback().min(self.rolled_out).min(restorable);
+        // The last version before the one in force that is not withdrawn is kept too, so that it can be restored.
+        let restorable = self.last_unwithdrawn_before(self.in_force).unwrap_or(self.in_force);
+        let first_kept = self.oldest_fallback().min(self.rolled_out).min(restorable);
         self.versions.retain(|number, _| *number >= first_kept);
         self.withdrawn.retain(|number| *number >= first_kept);
         self.restores.retain(|number| *number >= first_kept);
--- a/crates/frostgauged/tests/agreed.rs
+++ b/crates/frostgauged/tests/agreed.rs
@@ -74,7 +74,7 @@
     refused(&folder, &settings, Some(&with("/servers/s/state", json!("Gone"))), "servers.s.state");
     let out = run(&folder, &settings, Some(&rules));
     assert_eq!(out.status.code(), Some(0), "{}", String::from_utf8_lossy(&out.stderr));
-    refused(&folder, &settings, Some(&rules), "a fleet is founded once");
+    refused(&folder, &settings, Some(&rules), "a fleet is bootstrapped only once");
     let mut other = settings.clone();
     other["accord"]["keepers"] = json!([1, 2, 3]);
     other["accord"]["links"].as_array_mut().expect("a list").push(json!(free().to_string()));
