--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -250,8 +250,8 @@
         if now < self.next_tick {
             return Ok(());
         }
-        // After a pause only one tick runs, not all that were missed: they would count as silence of the other voters,
-        // when it was this process that did not run.
+        // After a pause only one tick runs, not all that were missed: those would count as silence of the other voters,
+        // although it was this process that did not run.
         self.next_tick = now + self.timing.tick;
         self.ticks += 1;
         if let Some(voter) = &mut self.voter {
@@ -317,8 +317,8 @@
         Ok(())
     }
 
-    /// Applies the decided entries and queues the messages that result. If one of them ends the configuration, the next
-    /// is begun, and the entries already decided in that are applied too.
+    /// Applies the decided entries and queues the messages that result. If an entry ends the configuration, begins the
+    /// next one and goes on with that. Finally attests the next version if that is possible now.
     fn apply_and_notify(&mut self, now: Micros) -> Result<(), ReplicaError> {
         while self.voter.is_some() {
             let applied = self.apply_decided();
--- a/crates/consensus/src/replica/membership.rs
+++ b/crates/consensus/src/replica/membership.rs
@@ -20,9 +20,10 @@
 /// The configuration that a replica is in, and the voters that are to enter the next one.
 #[derive(Debug)]
 pub(crate) struct Membership {
-    /// The number of the configuration, from 1; 0 if its storage is empty.
+    /// The number of the configuration, from 1; 0 while the storage is empty.
     pub(crate) configuration_number: u32,
-    /// Drawn at random when the replica is opened. The other voters readmit it by this nonce if its storage is empty.
+    /// Drawn at random when the replica is opened. If the storage is empty, the other voters readmit this replica by
+    /// it.
     pub(crate) nonce: u64,
     /// The voters of the configuration; those that the settings name while the storage is empty.
     pub(crate) voters: BTreeSet<GatewayId>,
@@ -30,6 +31,7 @@
     storage_lost: BTreeMap<GatewayId, u64>,
     /// The voters that an operator requested last.
     requested_voters: Option<BTreeSet<GatewayId>>,
+    /// The tick at which the configuration was last sent to each peer.
     configuration_sent_at_tick: BTreeMap<GatewayId, u64>,
 }
 
@@ -88,8 +90,8 @@
 
     /// Returns whether the configuration may be sent to a peer at this tick, and if so, records it as sent.
     pub(crate) fn mark_sent_if_due(&mut self, peer: GatewayId, now_tick: u64) -> bool {
-        let sent = self.configuration_sent_at_tick.get(&peer);
-        let is_due = sent.is_none_or(|at| now_tick >= at + CONFIGURATION_RESEND_TICKS);
+        let last_sent = self.configuration_sent_at_tick.get(&peer);
+        let is_due = last_sent.is_none_or(|at| now_tick >= at + CONFIGURATION_RESEND_TICKS);
         if is_due {
             self.configuration_sent_at_tick.insert(peer, now_tick);
         }
@@ -109,19 +111,19 @@
     /// The entry that ends this configuration, if an operator requested other voters and those that enter are ready, if
     /// a voter has lost its storage, or if the log is long.
     ///
-    /// An ordinary log entry is used, not the stop sign of the consensus library: a receiver counts a stop sign that is
-    /// sent twice as two, and it is then never decided.
+    /// An ordinary log entry is used, not the stop sign of the consensus library: a receiver that gets a stop sign
+    /// twice counts it twice, and the stop sign is then never decided.
     pub(crate) fn next_configuration(&self, current: &Configuration, log_is_long: bool) -> Option<Entry> {
-        let lost = self.voters_to_readmit(current);
+        let to_readmit = self.voters_to_readmit(current);
         let requested = self.requested_voters.as_ref().filter(|requested| **requested != current.voters);
         let voters = match requested {
             Some(requested) if self.all_entering_are_ready(requested, current) => requested.clone(),
-            _ if !lost.is_empty() || log_is_long => current.voters.clone(),
+            _ if !to_readmit.is_empty() || log_is_long => current.voters.clone(),
             _ => return None,
         };
         let nonce_of = |voter: &GatewayId| self.storage_lost.get(voter).map(|nonce| (*voter, *nonce));
         let mut readmitted: Readmitted = voters.difference(&current.voters).filter_map(nonce_of).collect();
-        readmitted.extend(lost.into_iter().filter(|(voter, _)| voters.contains(voter)));
+        readmitted.extend(to_readmit.into_iter().filter(|(voter, _)| voters.contains(voter)));
         Some(Entry::ChangeConfiguration { voters, readmitted })
     }
 
--- a/crates/consensus/src/replica/pending_proposals.rs
+++ b/crates/consensus/src/replica/pending_proposals.rs
@@ -27,7 +27,7 @@
         repropose_after: Micros,
     ) -> bool {
         let earlier = self.0.insert(id, (client, now));
-        earlier.is_none_or(|(_, at)| now >= at + repropose_after)
+        earlier.is_none_or(|(_, received_at)| now >= received_at + repropose_after)
     }
 
     /// Removes a proposal that is decided, and returns the client that awaits its outcome.
@@ -37,6 +37,6 @@
 
     /// Drops proposals last received `max_age` ago or longer.
     pub(crate) fn remove_expired(&mut self, now: Micros, max_age: Micros) {
-        self.0.retain(|_, (_, at)| now < *at + max_age);
+        self.0.retain(|_, (_, received_at)| now < *received_at + max_age);
     }
 }
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -236,12 +236,12 @@
 
     /// The canaries of a version, among the gateways that this version lists.
     pub fn canaries(&self, version: VersionNumber) -> BTreeSet<GatewayId> {
-        let fleet = self.versions.get(&version).map(|kept| &kept.rules.gateways);
+        let fleet = self.versions.get(&version).map(|version| &version.rules.gateways);
         let gateways = fleet.into_iter().flatten().copied();
         gateways.filter(|gateway| self.is_canary(version, *gateway)).collect()
     }
 
-    /// Whether a report is by a canary of the version on trial, and is not recorded yet.
+    /// Whether a report is by a canary of the version on trial, and was not recorded before.
     pub(crate) fn is_new_canary_report(
         &self,
         version: VersionNumber,
@@ -277,8 +277,8 @@
     /// Numbers a proposal or rejects it; one decided before keeps its outcome.
     fn publish(&mut self, proposal: Proposal) -> (u64, Outcome) {
         let id = proposal.id;
-        if let Some(known) = self.outcomes.get(&id) {
-            return (id, known.clone());
+        if let Some(earlier) = self.outcomes.get(&id) {
+            return (id, earlier.clone());
         }
         let outcome = self.number_or_reject(proposal);
         self.remember_outcome(id, outcome.clone());
