--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -226,7 +226,9 @@
                 let position = LogPosition::from_wire(log_position);
                 self.handle_paxos(from, configuration, sequence, position, *message)?;
             }
-            Message::Behind { configuration } if configuration < self.membership.configuration_number => {
+            Message::OutdatedConfiguration { configuration }
+                if configuration < self.membership.configuration_number =>
+            {
                 self.send_configuration(from);
             }
             Message::Install(configuration) => return self.install_configuration(now, *configuration),
@@ -306,8 +308,9 @@
             return Ok(());
         }
         if configuration > self.membership.configuration_number {
-            let behind = Message::Behind { configuration: self.membership.configuration_number };
-            self.outbox.push((from, behind));
+            let outdated =
+                Message::OutdatedConfiguration { configuration: self.membership.configuration_number };
+            self.outbox.push((from, outdated));
             return Ok(());
         }
         let Some(voter) = &mut self.voter else { return Ok(()) };
--- a/crates/consensus/src/ruleset.rs
+++ b/crates/consensus/src/ruleset.rs
@@ -2,7 +2,7 @@
 
 mod validation;
 
-use frostgauge_connection_budget::{CompiledPolicy, Inventory, Policy, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{CompiledPolicy, Inventory, Policy, MAX_CONNECTIONS_PER_SERVER};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 /// A gateway's number in the fleet.
 pub type GatewayId = u16;
 /// The format of [`Rules`] that this program writes and reads.
-pub const FORMAT: u16 = 2;
+pub const RULES_FORMAT: u16 = 2;
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// [`FORMAT`].
+    /// [`RULES_FORMAT`].
     pub format: u16,
     /// Classes of requests, by name.
     pub classes: BTreeMap<String, Class>,
@@ -123,17 +123,17 @@
     /// How many connections a server accepts from the fleet; none: it has no budget.
     pub fn connection_budget(&self, server: &str) -> Option<u32> {
         let zone = &self.servers.get(server)?.zone;
-        self.budgets.budget_of(zone).map(|(_, b)| b.connections)
+        self.budgets.budget_for_zone(zone).map(|(_, b)| b.connections)
     }
 
-    /// Servers with a budget, and whether it limits anything: one of [`MAX_CONNECTIONS`] does not, and is how a fleet
+    /// Servers with a budget, and whether it limits anything: one of [`MAX_CONNECTIONS_PER_SERVER`] does not, and is how a fleet
     /// learns that a server is to have one.
     pub fn budgeted_servers(&self) -> BTreeMap<String, bool> {
         if self.budgets.budgets.is_empty() {
             return BTreeMap::new();
         }
         let all = self.servers.keys().filter_map(|name| Some((name, self.connection_budget(name)?)));
-        all.map(|(name, n)| (name.clone(), n < MAX_CONNECTIONS)).collect()
+        all.map(|(name, n)| (name.clone(), n < MAX_CONNECTIONS_PER_SERVER)).collect()
     }
 }
 
--- a/crates/consensus/tests/common/sample.rs
+++ b/crates/consensus/tests/common/sample.rs
@@ -3,11 +3,11 @@
 
 use frostgauge_connection_budget::{
     Budget, Condition, Demand, GatewayReport, Loan, Policy, Rule, Selector, TenantClass, TermOverrides,
-    MAX_CONNECTIONS,
+    MAX_CONNECTIONS_PER_SERVER,
 };
 use frostgauge_consensus::{
     Class, GatewayId, LeaseRequest, Message, Plan, Proposal, Replica, Rules, Server, ServerState, Tenant,
-    Timing, TimingSettings, FORMAT,
+    Timing, TimingSettings, RULES_FORMAT,
 };
 use frostgauge_storage::Disk;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -53,7 +53,7 @@
         attempt_ms: 15_000,
         rotation_ms: 2_000,
     };
-    let rest = Budget { zone: None, connections: MAX_CONNECTIONS, ..north.clone() };
+    let rest = Budget { zone: None, connections: MAX_CONNECTIONS_PER_SERVER, ..north.clone() };
     let floor = Rule {
         name: "floor of sul".into(),
         select: Selector { tenants: set(["sul"]), zones: set(["north"]), ..Selector::default() },
@@ -94,7 +94,7 @@
         zone: zone.to_owned(),
     };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: map([("read", read), ("report", report)]),
         plans: map([("large", large), ("small", small)]),
         tenants: map([("norte", norte), ("sul", sul)]),
--- a/crates/consensus/tests/stored_data.rs
+++ b/crates/consensus/tests/stored_data.rs
@@ -11,7 +11,9 @@
 mod sample;
 
 use fixture::{assert_same_files, files, hex, Files, TestFolder};
-use frostgauge_connection_budget::{BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{
+    BudgetScope, LedgerChange, PermitCounts, TenantClass, MAX_CONNECTIONS_PER_SERVER,
+};
 use frostgauge_consensus::{
     Attestation, Configuration, Entry, FieldError, GatewayId, Message, Outcome, PermitChange, Replica,
     ServerState, StateMachine, Version, VersionNumber,
@@ -161,13 +163,13 @@
         ledger.scopes().map(|(scope, capacity)| (scope.clone(), capacity)).collect();
     let expected = [
         (BudgetScope::server("a"), 12),
-        (BudgetScope::server("c"), MAX_CONNECTIONS),
+        (BudgetScope::server("c"), MAX_CONNECTIONS_PER_SERVER),
         (tenant_scope("north", "norte", None), 12),
         (tenant_scope("north", "sul", None), 9),
         (tenant_scope("north", "sul", Some("report")), 12),
-        (tenant_scope("rest", "norte", None), MAX_CONNECTIONS),
-        (tenant_scope("rest", "sul", None), MAX_CONNECTIONS),
-        (tenant_scope("rest", "sul", Some("report")), MAX_CONNECTIONS),
+        (tenant_scope("rest", "norte", None), MAX_CONNECTIONS_PER_SERVER),
+        (tenant_scope("rest", "sul", None), MAX_CONNECTIONS_PER_SERVER),
+        (tenant_scope("rest", "sul", Some("report")), MAX_CONNECTIONS_PER_SERVER),
     ];
     assert_eq!(capacities, expected);
     let permits = PermitCounts { held: 4, target: 4, fallback: 1 };
@@ -180,7 +182,7 @@
     );
     assert_eq!([2, 4].map(|gateway| ledger.incarnation(gateway)), [Some(1_002), Some(1_004)]);
     for voter in KEEPERS {
-        assert!(permit_state.knows_start(voter, 100 + u64::from(voter)));
+        assert!(permit_state.is_voter_start_recorded(voter, 100 + u64::from(voter)));
     }
 }
 
@@ -348,7 +350,7 @@
         ("over silent", attested(Attestation::LeasesExpired)),
         ("over past", attested(Attestation::EarlierLeasesExpired)),
         ("over ended", attested(Attestation::EarlierProcessesEnded)),
-        ("back", PermitChange::GatewayHeardAgain { gateway: 4, round: 5 }),
+        ("back", PermitChange::GatewayActiveAgain { gateway: 4, round: 5 }),
         (
             "deal",
             PermitChange::Allocated {
--- a/crates/platform-protocol/tests/values.rs
+++ b/crates/platform-protocol/tests/values.rs
@@ -1,6 +1,6 @@
 //! The platform's values: lists, answers, requests from whatever bytes come.
 
-use frostgauge::{Effect, State, Status};
+use frostgauge::{Effect, ServerState, Status};
 use frostgauge_platform_protocol::settings::{self, Column, Site};
 use frostgauge_platform_protocol::targets::{self, List};
 use frostgauge_platform_protocol::{answer, request};
@@ -32,7 +32,7 @@
     assert_eq!((site.settings.gateway_id, site.settings.gateways, site.settings.zone), (2, 3, 1));
     assert_eq!(site.classes, ["read", "report"]);
     assert_eq!(site.plans, ["base"]);
-    assert_eq!(site.settings.classes[1].effect, Effect::Fragile);
+    assert_eq!(site.settings.classes[1].effect, Effect::NonIdempotent);
     assert_eq!(site.columns, [Column::Inflight, Column::Latency, Column::Other]);
     assert_eq!((site.idle, site.connect, site.drain_grace), (15_000_000, 250_000, 500_000));
 }
@@ -82,13 +82,13 @@
       {"instanceId":"s-3","lifecycle":"removed"}]}"#;
     let list = List::read(text.as_bytes()).expect("a list");
     let entries: Vec<_> = list.instances.iter().map(|t| t.entry(&site())).collect();
-    assert_eq!(entries[0].state, State::Ready);
+    assert_eq!(entries[0].state, ServerState::Ready);
     assert_eq!(
         (entries[0].ready_at, entries[0].zone, entries[0].cell, entries[0].size),
         (6_100_000, 1, 3, 1.5)
     );
-    assert_eq!((entries[1].state, entries[1].zone), (State::Draining, u32::MAX));
-    assert_eq!(entries[2].state, State::Gone);
+    assert_eq!((entries[1].state, entries[1].zone), (ServerState::Draining, u32::MAX));
+    assert_eq!(entries[2].state, ServerState::Removed);
     let moved = List::read(text.replace("10.1.0.18", "10.9.0.18").as_bytes()).expect("a list");
     assert_eq!(moved.instances[0].server(), list.instances[0].server());
     assert_ne!(list.instances[0].server(), list.instances[1].server());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -39,7 +39,7 @@
         gateways: 2,
         zone: 0,
         tick: 2 * MS,
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Effect::Idempotent)],
         plans: vec![plan()],
         capabilities: Capabilities {
             cancel: true,
@@ -49,7 +49,7 @@
             peer_messages_per_s: 40.0,
             ..Capabilities::default()
         },
-        rules: Rules {
+        backend_limits: BackendLimits {
             answer_slack: 8 * MS,
             slow_start_share: 0.2,
             slow_start_time: 10 * S,
@@ -59,8 +59,15 @@
     }
 }
 
-pub fn entry(server: u64, zone: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
+pub fn entry(server: u64, zone: u32) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(server),
+        state: ServerState::Ready,
+        ready_at: 0,
+        size: 1.0,
+        zone,
+        cell: zone,
+    }
 }
 
 /// A gateway with its clock, its pending timers and what it did last.
@@ -73,7 +80,7 @@
 
 impl Rig {
     /// Starts at one second with the given servers listed.
-    pub fn new(settings: Settings, servers: &[Entry]) -> Rig {
+    pub fn new(settings: Settings, servers: &[ServerEntry]) -> Rig {
         let gateway = Gateway::new(settings, 11, S).expect("sound settings");
         let mut rig = Rig { gateway, now: S, timers: Vec::new(), next: 0 };
         rig.event(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
@@ -145,13 +152,13 @@
         status: Status,
         elapsed: Micros,
     ) -> Vec<Action> {
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             id,
             attempt,
             server,
             status,
             elapsed,
-            closed: status == Status::Ok,
+            request_finished: status == Status::Ok,
             usage: None,
             settled_units: None,
             load: None,
--- a/tests/few.rs
+++ b/tests/few.rs
@@ -8,7 +8,8 @@
 fn rig() -> Rig {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Safe), Class { priority_weight: 10.0, ..class(Effect::Fragile) }];
+    s.classes =
+        vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     Rig::new(s, &(0..60).map(|k| entry(k + 1, k as u32 % 3)).collect::<Vec<_>>())
 }
 
@@ -104,7 +105,7 @@
     let (came, good, _) = served(&mut rig, 5, lost);
     assert!((0..2).all(|class| good[class] * 10 >= came[class] * 9), "{good:?} of {came:?} while it is lost");
     let start = rig.now;
-    let cold = |k: u64| Entry { ready_at: start, ..entry(k + 1, 1) };
+    let cold = |k: u64| ServerEntry { ready_at: start, ..entry(k + 1, 1) };
     let entries = (0..60).filter(|k| k % 3 == 1).map(cold).collect();
     rig.event(Event::Servers { kind: ListKind::Delta, entries });
     let (came, good, there) = served(&mut rig, 8, |_| Status::Ok);
@@ -134,7 +135,7 @@
 fn with_peers_list_and_counter_silent_each_request_ends_once_and_nothing_runs_twice() {
     let mut s = settings();
     s.gateways = 100;
-    s.classes = vec![class(Effect::Safe), class(Effect::Fragile)];
+    s.classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent)];
     s.capabilities = Capabilities {
         peers: true,
         shared_counter: true,
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -45,13 +45,13 @@
 fn served(g: &mut Gateway, now: Micros, k: u64, server: ServerId, used: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let (id, status, elapsed) = (RequestId(k), Status::Ok, 50 * MS);
-    let end = Event::Outcome {
+    let end = Event::AttemptEnded {
         id,
         attempt: 0,
         server,
         status,
         elapsed,
-        closed: true,
+        request_finished: true,
         usage: Some(used),
         settled_units: None,
         load: Some(Load { inflight: Some(0.0), ..Load::default() }),
@@ -139,7 +139,7 @@
 fn a_cold_server_gets_from_all_gateways_no_more_than_its_part() {
     let n = 300;
     let mut all: Vec<Gateway> = (0..n).map(|me| gateway(metered(), me, n, 31 * me as u64 + 7)).collect();
-    let cold = Entry { ready_at: 3 * S, ..entry(20, 0) };
+    let cold = ServerEntry { ready_at: 3 * S, ..entry(20, 0) };
     let (mut to_cold, mut total) = (0, 0);
     for (me, g) in all.iter_mut().enumerate() {
         for k in 0..12 {
@@ -174,7 +174,7 @@
 }
 
 /// What a cold server may get at most within the settings' time, of requests of which a warm one takes so many a second.
-fn cold_part(rules: &Rules, up: Micros, rate: f64) -> f64 {
+fn cold_part(rules: &BackendLimits, up: Micros, rate: f64) -> f64 {
     let ramp =
         rules.slow_start_share + (1.0 - rules.slow_start_share) * up as f64 / rules.slow_start_time as f64;
     let part = rules.collapse_multiple * ramp * rate * rules.collapse_time as f64 / S as f64;
@@ -185,7 +185,7 @@
 fn a_server_back_cold_under_new_ids_at_restarting_gateways_gets_its_part() {
     const GATEWAYS: usize = 25;
     const STEP: Micros = 100 * MS;
-    let rules = settings().rules;
+    let rules = settings().backend_limits;
     // One server joins, and is there again under another id a second later, and again.
     let starts = [(20, 3 * S), (21, 4 * S), (22, 5 * S)];
     let fresh = |me: usize, life: u64| gateway(metered(), me, GATEWAYS, life * 1_000 + me as u64);
@@ -200,8 +200,9 @@
                 *g = fresh(me, 2 + step);
             }
             let list = |(server, at): &(u64, Micros)| {
-                let state = if now < at + S || *server == 22 { State::Ready } else { State::Gone };
-                Entry { ready_at: *at, state, ..entry(*server, 0) }
+                let state =
+                    if now < at + S || *server == 22 { ServerState::Ready } else { ServerState::Removed };
+                ServerEntry { ready_at: *at, state, ..entry(*server, 0) }
             };
             let entries = starts.iter().filter(|(_, at)| now >= *at).map(list).collect();
             g.handle(now, Event::Servers { kind: ListKind::Delta, entries }, &mut Vec::new());
@@ -317,9 +318,18 @@
                 return true;
             }
             let (id, attempt, status, elapsed) = (RequestId(*id), 0, Status::Ok, 900 * MS);
-            let (server, usage, settled_units, load, closed) = (*server, None, None, None, true);
-            let end =
-                Event::Outcome { id, attempt, server, status, elapsed, closed, usage, settled_units, load };
+            let (server, usage, settled_units, load, request_finished) = (*server, None, None, None, true);
+            let end = Event::AttemptEnded {
+                id,
+                attempt,
+                server,
+                status,
+                elapsed,
+                request_finished,
+                usage,
+                settled_units,
+                load,
+            };
             all[*me].handle(*at, end, &mut Vec::new());
             false
         });
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -4,13 +4,13 @@
 use common::*;
 use frostgauge::*;
 
-fn delta(entry: Entry, state: State) -> Event {
-    Event::Servers { kind: ListKind::Delta, entries: vec![Entry { state, ..entry }] }
+fn delta(entry: ServerEntry, state: ServerState) -> Event {
+    Event::Servers { kind: ListKind::Delta, entries: vec![ServerEntry { state, ..entry }] }
 }
 
 #[test]
 fn a_draining_or_gone_server_gets_nothing_new() {
-    for state in [State::Draining, State::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0)]);
         rig.event(delta(entry(1, 0), state));
         for customer in 0..8 {
@@ -32,7 +32,7 @@
 fn a_failed_list_keeps_the_old_one_and_asks_again() {
     let mut rig = Rig::new(settings(), &[entry(1, 0)]);
     let actions = rig.event(Event::Servers { kind: ListKind::Failed, entries: vec![] });
-    assert_eq!(actions, [Action::Watch]);
+    assert_eq!(actions, [Action::SubscribeToServers]);
     assert!(sent(&rig.request(0, 1, S).1).is_some());
 }
 
@@ -44,7 +44,7 @@
     for k in 0..3 * offered {
         rig.run_to(S + k * 1_500 * MS / offered);
         if k == 2 * offered {
-            rig.event(delta(Entry { ready_at: rig.now, ..entry(2, 0) }, State::Ready));
+            rig.event(delta(ServerEntry { ready_at: rig.now, ..entry(2, 0) }, ServerState::Ready));
         }
         let (id, actions) = rig.request(0, 100 + k, 2 * S);
         let Some(server) = sent(&actions) else { continue };
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_server_that_turns_one_class_away_is_left_by_that_class_and_kept_by_the_other() {
-    let classes = vec![class(Effect::Safe), class(Effect::Fragile)];
+    let classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent)];
     let mut rig = Rig::new(Settings { classes, ..settings() }, &[entry(1, 0), entry(2, 0)]);
     // Known as the quicker one.
     for k in 0..50 {
@@ -159,7 +159,7 @@
 fn sends_to_a_cold_fleet(start: Micros) -> Vec<[usize; 2]> {
     let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, &[]);
     rig.run_to(100 * S);
-    let cold = |k| Entry { ready_at: start, ..entry(k, 0) };
+    let cold = |k| ServerEntry { ready_at: start, ..entry(k, 0) };
     rig.event(Event::Servers { kind: ListKind::Full, entries: vec![cold(1), cold(2)] });
     let mut sends = vec![[0; 2]; 12];
     for k in 0..480 {
