--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,35 +1,35 @@
-//! Errors of reading a batch.
+//! Errors in the simulator's batches.
 
-/// A field of an event that is missing, or whose value has the wrong type.
+/// A field that is missing, or whose type or value is not allowed. Holds the field's name on the JSON lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is missing or of the wrong type")]
+#[error("field '{0}' is missing or has an invalid type or value")]
 pub struct FieldError(pub &'static str);
 
-/// Why a line cannot be played as a batch.
+/// Why a line cannot be handled as a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// The line is not JSON.
-    #[error("a line is not a batch: {0}")]
+    /// The line is not valid JSON.
+    #[error("input line is not a batch: invalid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The batch has no serial number, which a reply needs.
-    #[error("a batch lacks a whole number in 'serial'")]
+    /// The batch has no valid serial number, which its reply has to repeat.
+    #[error("batch has no serial number: field 'serial' must be an integer from 0 to 2^64 - 1")]
     NoSerial,
-    /// A field of the batch itself.
+    /// A field of the batch itself is invalid.
     #[error("batch {serial}: {error}")]
-    Batch {
+    BatchField {
         /// Serial number of the batch.
         serial: u64,
-        /// The field.
+        /// The invalid field.
         error: FieldError,
     },
-    /// A field of one of its events.
-    #[error("batch {serial}: {event}: {error}")]
-    Event {
+    /// A field of one of the batch's events is invalid.
+    #[error("batch {serial}: event '{event}': {error}")]
+    EventField {
         /// Serial number of the batch.
         serial: u64,
         /// Name of the event.
         event: String,
-        /// The field.
+        /// The invalid field.
         error: FieldError,
     },
 }
--- a/crates/simhost/src/fields.rs
+++ b/crates/simhost/src/fields.rs
@@ -1,30 +1,31 @@
-//! Fields of an event, by position.
+//! Access to the fields of an event, which the simulator writes as a JSON array without names.
 
 use crate::error::FieldError;
 use serde_json::Value;
 
-/// The fields that follow an event's name and instance.
+/// The fields that follow an event's name and instance number. The `name` that most methods take is the
+/// field's name for the error.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(pub &'a [Value]);
 
 impl<'a> Fields<'a> {
-    /// The value at a position, of any type.
+    /// The value at a position, of any type; `None` past the last field.
     pub fn get(self, index: usize) -> Option<&'a Value> {
         self.0.get(index)
     }
 
-    /// A string; `name` is for the error.
+    /// A mandatory string.
     pub fn text(self, index: usize, name: &'static str) -> Result<&'a str, FieldError> {
         self.get(index).and_then(Value::as_str).ok_or(FieldError(name))
     }
 
-    /// A number.
+    /// A mandatory number.
     pub fn number(self, index: usize, name: &'static str) -> Result<f64, FieldError> {
         self.get(index).and_then(Value::as_f64).ok_or(FieldError(name))
     }
 
-    /// A whole number, cut down from a fraction; 0 if it is negative, null or missing.
-    pub fn whole(self, index: usize, name: &'static str) -> Result<u64, FieldError> {
+    /// An integer from 0. A fraction is rounded down; a negative, null or missing number is read as 0.
+    pub fn integer(self, index: usize, name: &'static str) -> Result<u64, FieldError> {
         match self.get(index) {
             None | Some(Value::Null) => Ok(0),
             Some(value) => {
@@ -34,16 +35,16 @@
         }
     }
 
-    /// A list; empty if it is null or missing.
-    pub fn list(self, index: usize, name: &'static str) -> Result<&'a [Value], FieldError> {
+    /// An array; empty if it is null or missing.
+    pub fn array(self, index: usize, name: &'static str) -> Result<&'a [Value], FieldError> {
         match self.get(index) {
             None | Some(Value::Null) => Ok(&[]),
             Some(value) => value.as_array().map(Vec::as_slice).ok_or(FieldError(name)),
         }
     }
 
-    /// A truth value; false if it is missing or of another type.
-    pub fn flag(self, index: usize) -> bool {
+    /// A boolean; false if it is missing or of another type.
+    pub fn boolean(self, index: usize) -> bool {
         self.get(index).and_then(Value::as_bool).unwrap_or(false)
     }
 }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,8 +1,10 @@
-//! Adapter between the simulator's wire format and frostgauge's interface; no decision is made here.
+//! Adapter between the simulator's JSON lines and the decision library; it makes no decisions itself.
 //!
-//! A batch is one line of JSON: `{"serial": 1, "atTimeUs": 5000, "items": [[name, instance, fields...], ...]}`. The
-//! reply is `{"serial": 1, "out": [[name, instance, fields...], ...]}`. The names of events are mapped in
-//! `events.rs`, those of actions in `actions.rs`.
+//! Each input line is a batch of events:
+//! `{"serial": 1, "atTimeUs": 5000, "items": [[name, instance, fields...], ...]}`.
+//! The reply to it holds the actions: `{"serial": 1, "out": [[name, instance, fields...], ...]}`.
+//!
+//! Event names are mapped in `events.rs`, action names in `actions.rs`.
 
 mod actions;
 mod error;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,9 +1,11 @@
-//! Plays the simulator's batches: one a line on standard input, a reply each on standard output.
+//! Reads the simulator's batches from standard input, one per line, and writes one reply line for each to standard
+//! output.
 
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
+    // The host reports a gateway's panic in its reply, so nothing is printed for it.
     std::panic::set_hook(Box::new(|_| {}));
     let mut host = frostgauge_simhost::Host::default();
     let mut input = std::io::stdin().lock();
@@ -16,18 +18,18 @@
             Ok(_) if line.trim().is_empty() => continue,
             Ok(_) => {}
             Err(error) => {
-                eprintln!("standard input cannot be read: {error}");
+                eprintln!("cannot read a line from standard input: {error}; exiting");
                 return ExitCode::FAILURE;
             }
         }
-        match host.batch(&line) {
+        match host.handle_batch(&line) {
             Ok(reply) => {
                 if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
                     return ExitCode::FAILURE;
                 }
             }
             Err(error) => {
-                eprintln!("{error}");
+                eprintln!("{error}; exiting");
                 return ExitCode::FAILURE;
             }
         }
