--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,11 +1,14 @@
-//! A small driver for scripted event sequences.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! A driver that plays scripted sequences of events to a gateway, with settings to start from.
+#![allow(dead_code, reason = "no test file uses all of these items")]
 
 use frostgauge::*;
 
+/// One millisecond, µs.
 pub const MS: Micros = 1_000;
+/// One second, µs.
 pub const S: Micros = 1_000_000;
 
+/// A class with a latency objective of 600 ms and a deadline of 2 s.
 pub fn class(effect: Effect) -> Class {
     Class {
         latency_objective: 600 * MS,
@@ -17,7 +20,7 @@
     }
 }
 
-/// Two units a second, four at once, no ceiling.
+/// A quota of 2 units per second with a burst of 4, and no ceiling.
 pub fn plan() -> Plan {
     Plan {
         rate: 2.0,
@@ -32,7 +35,8 @@
     }
 }
 
-/// Two gateways, one safe class, one plan, nothing but the list of servers.
+/// Settings of gateway 0 of two, with one safe class and one plan. Probes, peer messages, usage reports and
+/// the shared counter are off, so the server list is the only source of information.
 pub fn settings() -> Settings {
     Settings {
         gateway_id: 0,
@@ -59,28 +63,32 @@
     }
 }
 
+/// A ready server that finished its slow start long ago.
 pub fn entry(server: u64, zone: u32) -> Entry {
     Entry { server: ServerId(server), state: State::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
 }
 
-/// A gateway with its clock, its pending timers and what it did last.
-pub struct Rig {
+/// Drives one gateway: keeps its clock, its pending timers and the ids of its requests.
+pub struct Driver {
     pub gateway: Gateway,
+    /// The gateway's clock, µs.
     pub now: Micros,
+    /// Pending timers with their time, µs.
     pub timers: Vec<(Micros, TimerId)>,
-    next: u64,
+    last_request_id: u64,
 }
 
-impl Rig {
-    /// Starts at one second with the given servers listed.
-    pub fn new(settings: Settings, servers: &[Entry]) -> Rig {
-        let gateway = Gateway::new(settings, 11, S).expect("sound settings");
-        let mut rig = Rig { gateway, now: S, timers: Vec::new(), next: 0 };
-        rig.event(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
-        rig
+impl Driver {
+    /// Starts a gateway at 1 s and lists the given servers.
+    pub fn new(settings: Settings, servers: &[Entry]) -> Driver {
+        let gateway = Gateway::new(settings, 11, S).expect("valid settings");
+        let mut driver = Driver { gateway, now: S, timers: Vec::new(), last_request_id: 0 };
+        driver.handle(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
+        driver
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    /// Handles an event now and keeps the timers that it sets; returns the other actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(self.now, event, &mut out);
         for action in &out {
@@ -88,26 +96,27 @@
                 self.timers.push((*at, *timer));
             }
         }
-        out.retain(|a| !matches!(a, Action::Timer { .. }));
+        out.retain(|action| !matches!(action, Action::Timer { .. }));
         out
     }
 
-    /// Lets time pass, firing timers; returns what was done, with its time.
-    pub fn run_to(&mut self, end: Micros) -> Vec<(Micros, Action)> {
-        let mut done = Vec::new();
-        while let Some((at, timer)) = self.timers.iter().copied().filter(|t| t.0 <= end).min() {
-            self.timers.retain(|t| t.1 != timer);
+    /// Moves the clock to `end` and fires the timers due until then; returns the actions with their times.
+    pub fn advance_to(&mut self, end: Micros) -> Vec<(Micros, Action)> {
+        let mut actions = Vec::new();
+        while let Some((at, timer)) = self.timers.iter().copied().filter(|(due, _)| *due <= end).min() {
+            self.timers.retain(|(_, pending)| *pending != timer);
             self.now = self.now.max(at);
-            done.extend(self.event(Event::Timer { timer }).into_iter().map(|a| (self.now, a)));
+            actions.extend(self.handle(Event::Timer { timer }).into_iter().map(|action| (self.now, action)));
         }
         self.now = self.now.max(end);
-        done
+        actions
     }
 
+    /// Sends a request of one unit to the gateway; returns its id and the actions taken at once.
     pub fn request(&mut self, class: usize, customer: u64, timeout: Micros) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let actions = self.event(Event::Request {
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
+        let actions = self.handle(Event::Request {
             id,
             class,
             plan: 0,
@@ -121,23 +130,31 @@
         (id, actions)
     }
 
-    /// Plays a fresh customer's request to its end, each attempt ending as `status` says of its server;
-    /// returns the servers tried.
-    pub fn play(&mut self, customer: u64, status: impl Fn(ServerId) -> Status) -> Vec<ServerId> {
+    /// Sends a request with a timeout of 2 s and ends each of its attempts after 30 ms with the `status` for
+    /// its server; returns the servers of the attempts.
+    pub fn run_request(&mut self, customer: u64, status: impl Fn(ServerId) -> Status) -> Vec<ServerId> {
         let (id, mut actions) = self.request(0, customer, 2 * S);
-        let mut tried = Vec::new();
-        while let Some(server) = sent(&actions) {
-            actions = self.outcome(id, tried.len() as u32, server, status(server));
-            tried.push(server);
+        let mut servers = Vec::new();
+        while let Some(server) = sent_to(&actions) {
+            actions = self.end_attempt(id, servers.len() as u32, server, status(server));
+            servers.push(server);
         }
-        tried
+        servers
     }
 
-    pub fn outcome(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) -> Vec<Action> {
-        self.ended(id, attempt, server, status, 30 * MS)
+    /// Ends an attempt 30 ms after it was sent; returns the actions.
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        server: ServerId,
+        status: Status,
+    ) -> Vec<Action> {
+        self.end_attempt_after(id, attempt, server, status, 30 * MS)
     }
 
-    pub fn ended(
+    /// Ends an attempt `elapsed` µs after it was sent; returns the actions.
+    pub fn end_attempt_after(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -145,7 +162,7 @@
         status: Status,
         elapsed: Micros,
     ) -> Vec<Action> {
-        self.event(Event::Outcome {
+        self.handle(Event::Outcome {
             id,
             attempt,
             server,
@@ -159,18 +176,20 @@
     }
 }
 
-/// Where the actions send the request, if they do.
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| match a {
+/// The server of the first attempt among the actions.
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+/// Whether the actions reject a request.
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+/// Whether the actions answer a request as failed.
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/tests/common/pages.rs
+++ b/tests/common/pages.rs
@@ -1,14 +1,14 @@
-//! Keys of staff pages, to be compared with recorded ones.
+//! Member paths of status pages and names of metrics, for comparison with those recorded in fixtures.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The lines of a fixture, without comments.
+/// The lines of a fixture, without those that begin with `#`.
 pub fn lines_of(fixture: &str) -> BTreeSet<String> {
     fixture.lines().filter(|line| !line.starts_with('#')).map(str::to_owned).collect()
 }
 
-/// The paths of all members, as `answers.taken`; `[]` stands for each element of a list.
+/// The paths of all members without further members, such as `answers.taken`. `[]` denotes an element of an array.
 pub fn paths_of_members(value: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     add_paths(value, "", &mut paths);
@@ -19,8 +19,8 @@
     match value {
         Value::Object(members) if !members.is_empty() => {
             for (name, member) in members {
-                let dot = if path.is_empty() { "" } else { "." };
-                add_paths(member, &format!("{path}{dot}{name}"), out);
+                let separator = if path.is_empty() { "" } else { "." };
+                add_paths(member, &format!("{path}{separator}{name}"), out);
             }
         }
         Value::Array(elements) if !elements.is_empty() => {
@@ -32,8 +32,9 @@
     }
 }
 
-/// Names of metrics with the keys of their labels, as `frostgauge_answers kind,reason`; of a label `what`, which names a
-/// figure, with its value too.
+/// The metrics of a page, each as its name and the keys of its labels or `-`, such as
+/// `frostgauge_answers kind,reason`. The label `what` tells several figures of one metric apart, so its value is
+/// kept.
 pub fn names_of_metrics(page: &str) -> BTreeSet<String> {
     page.lines().filter(|line| line.starts_with("frostgauge_")).map(name_of_metric).collect()
 }
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -1,126 +1,136 @@
-//! The shared counter keeps the customer's store; a server may be full to one plan alone.
+//! The shared counter, which holds each customer's quota bucket for all gateways. Also: servers that are full
+//! for one plan only, and settings that are out of range.
 
 mod common;
 use common::*;
 use frostgauge::*;
 
-fn counting() -> Settings {
-    let mut s = settings();
-    s.gateways = 160;
-    s.capabilities.shared_counter = true;
-    s.capabilities.counter_call_timeout = 80 * MS;
-    s.capabilities.usage_period = S;
-    s
+/// 160 gateways that may call the shared counter, with a timeout of 80 ms.
+fn settings_with_counter() -> Settings {
+    let mut settings = settings();
+    settings.gateways = 160;
+    settings.capabilities.shared_counter = true;
+    settings.capabilities.counter_call_timeout = 80 * MS;
+    settings.capabilities.usage_period = S;
+    settings
 }
 
-fn call(actions: &[Action]) -> Option<(CounterId, f64)> {
-    actions.iter().find_map(|a| match a {
+/// The counter and the amount of the first counter call among the actions.
+fn counter_call(actions: &[Action]) -> Option<(CounterId, f64)> {
+    actions.iter().find_map(|action| match action {
         Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
     })
 }
 
-fn reply(rig: &mut Rig, counter: CounterId, total: Option<f64>) -> Vec<Action> {
-    rig.now += 2 * MS;
-    rig.event(Event::CounterReply { counter, total, unsure: total.is_none(), elapsed: 2 * MS })
+/// Replies to a counter call after 2 ms, without an answer if `total` is `None`; returns the actions.
+fn reply(driver: &mut Driver, counter: CounterId, total: Option<f64>) -> Vec<Action> {
+    driver.now += 2 * MS;
+    driver.handle(Event::CounterReply { counter, total, unsure: total.is_none(), elapsed: 2 * MS })
 }
 
-/// Where the total stands when the store is full: the rate times the clock.
-fn full(rig: &Rig) -> f64 {
-    2.0 * rig.now as f64 / 1e6
+/// The customer's total at the counter while its bucket is full: the rate of 2 units per second times the clock.
+fn total_of_full_bucket(driver: &Driver) -> f64 {
+    2.0 * driver.now as f64 / 1e6
 }
 
 #[test]
-fn a_request_waits_for_the_counters_word_and_goes() {
-    let mut rig = Rig::new(counting(), &[entry(1, 0)]);
-    let (_, actions) = rig.request(0, 5, 2 * S);
-    let (counter, amount) = call(&actions).expect("a call");
-    assert_eq!((counter, amount, sent(&actions)), (CounterId(5), 1.0, None));
-    let total = full(&rig) + 2.0;
-    assert!(sent(&reply(&mut rig, counter, Some(total))).is_some());
+fn request_waits_for_the_counter_reply_and_is_sent() {
+    let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
+    let (_, actions) = driver.request(0, 5, 2 * S);
+    let (counter, amount) = counter_call(&actions).expect("a counter call");
+    assert_eq!((counter, amount, sent_to(&actions)), (CounterId(5), 1.0, None));
+    let total = total_of_full_bucket(&driver) + 2.0;
+    assert!(sent_to(&reply(&mut driver, counter, Some(total))).is_some());
 }
 
 #[test]
-fn an_empty_store_refuses_and_what_was_reserved_is_given_back() {
-    let mut rig = Rig::new(counting(), &[entry(1, 0)]);
-    let (_, actions) = rig.request(0, 5, 2 * S);
-    let (counter, _) = call(&actions).expect("a call");
-    let total = full(&rig) + 6.0;
-    let done = reply(&mut rig, counter, Some(total));
-    assert!(refused(&done) && sent(&done).is_none(), "{done:?}");
-    let later: Vec<_> = rig.run_to(rig.now + 300 * MS).into_iter().map(|d| d.1).collect();
-    assert_eq!(call(&later), Some((counter, -1.0)));
+fn empty_bucket_rejects_and_returns_reserved_units() {
+    let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
+    let (_, actions) = driver.request(0, 5, 2 * S);
+    let (counter, _) = counter_call(&actions).expect("a counter call");
+    let total = total_of_full_bucket(&driver) + 6.0;
+    let actions = reply(&mut driver, counter, Some(total));
+    assert!(is_rejected(&actions) && sent_to(&actions).is_none(), "{actions:?}");
+    let later: Vec<_> =
+        driver.advance_to(driver.now + 300 * MS).into_iter().map(|(_, action)| action).collect();
+    assert_eq!(counter_call(&later), Some((counter, -1.0)));
 }
 
 #[test]
-fn a_name_older_than_the_wrap_is_read_as_what_it_was_and_put_right() {
-    let mut rig = Rig::new(counting(), &[entry(1, 0)]);
-    // Just past the wrap of ten minutes; the name was opened before it, and its store is nearly full.
-    rig.run_to(600 * S + 100 * MS);
-    let (_, actions) = rig.request(0, 5, 2 * S);
-    let (counter, _) = call(&actions).expect("a call");
-    let before = full(&rig) + 1.0;
-    let done = reply(&mut rig, counter, Some(before));
-    assert!(sent(&done).is_some() && !refused(&done), "{done:?}");
-    // One of those who find it so far off puts it right, at a time of its own.
-    let mut amounts = vec![];
+fn total_from_before_the_wrap_is_read_and_corrected() {
+    let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
+    // The total of a full bucket starts from 0 again every ten minutes. This total was opened before that,
+    // and its bucket is nearly full.
+    driver.advance_to(600 * S + 100 * MS);
+    let (_, actions) = driver.request(0, 5, 2 * S);
+    let (counter, _) = counter_call(&actions).expect("a counter call");
+    let total_before_wrap = total_of_full_bucket(&driver) + 1.0;
+    let actions = reply(&mut driver, counter, Some(total_before_wrap));
+    assert!(sent_to(&actions).is_some() && !is_rejected(&actions), "{actions:?}");
+    // All gateways see a total that is this far off, so one that did not open it corrects it after a random
+    // delay only.
+    let mut corrections = vec![];
     for _ in 0..400 {
-        let mut asked: Vec<_> = rig.run_to(rig.now + 500 * MS).into_iter().map(|d| d.1).collect();
-        asked.extend(rig.request(0, 5, 2 * S).1);
-        while let Some((counter, _)) = call(&asked) {
-            let total = full(&rig) + amounts.iter().sum::<f64>();
-            asked = reply(&mut rig, counter, Some(total));
-            amounts.extend(call(&asked).map(|c| c.1));
+        let mut actions: Vec<_> =
+            driver.advance_to(driver.now + 500 * MS).into_iter().map(|(_, action)| action).collect();
+        actions.extend(driver.request(0, 5, 2 * S).1);
+        while let Some((counter, _)) = counter_call(&actions) {
+            let total = total_of_full_bucket(&driver) + corrections.iter().sum::<f64>();
+            actions = reply(&mut driver, counter, Some(total));
+            corrections.extend(counter_call(&actions).map(|(_, amount)| amount));
         }
     }
-    assert_eq!(amounts.len(), 1, "{amounts:?}");
-    assert!((amounts[0] + 1_200.0).abs() < 10.0, "{amounts:?}");
+    assert_eq!(corrections.len(), 1, "{corrections:?}");
+    // The wrap takes off ten minutes at 2 units per second.
+    assert!((corrections[0] + 1_200.0).abs() < 10.0, "{corrections:?}");
 }
 
 #[test]
-fn a_counter_that_came_back_empty_is_put_right() {
-    let mut rig = Rig::new(counting(), &[entry(1, 0)]);
-    rig.run_to(30 * S);
-    let (_, actions) = rig.request(0, 5, 2 * S);
-    let (counter, _) = call(&actions).expect("a call");
-    let done = reply(&mut rig, counter, Some(1.0));
-    assert!(sent(&done).is_some(), "a new store is full");
-    let (_, amount) = call(&done).expect("a second call");
-    assert!((amount - (full(&rig) - 1.0)).abs() < 0.1, "{amount}");
+fn counter_restarted_at_zero_is_corrected() {
+    let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
+    driver.advance_to(30 * S);
+    let (_, actions) = driver.request(0, 5, 2 * S);
+    let (counter, _) = counter_call(&actions).expect("a counter call");
+    let actions = reply(&mut driver, counter, Some(1.0));
+    assert!(sent_to(&actions).is_some(), "the bucket of a new total is full");
+    let (_, amount) = counter_call(&actions).expect("a correction");
+    assert!((amount - (total_of_full_bucket(&driver) - 1.0)).abs() < 0.1, "{amount}");
 }
 
 #[test]
-fn a_silent_counter_holds_no_longer_than_any_hold_and_is_called_less() {
-    let mut rig = Rig::new(counting(), &[entry(1, 0)]);
+fn silent_counter_keeps_to_max_hold_and_is_called_less() {
+    let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
     let mut calls = 0;
     for k in 0..100 {
-        let (id, actions) = rig.request(0, 1_000 + k, 2 * S);
-        let asked = call(&actions);
-        let until = rig.now + 90 * MS;
-        let mut done: Vec<Action> = actions;
-        done.extend(rig.run_to(until).into_iter().map(|d| d.1));
-        let server = sent(&done).expect("sent within the hold, as the customer is new");
-        rig.outcome(id, 0, server, Status::Ok);
-        if let Some((counter, _)) = asked {
+        let (id, actions) = driver.request(0, 1_000 + k, 2 * S);
+        let call = counter_call(&actions);
+        // The longest hold is 15% of the latency objective of 600 ms.
+        let hold_end = driver.now + 90 * MS;
+        let mut actions: Vec<Action> = actions;
+        actions.extend(driver.advance_to(hold_end).into_iter().map(|(_, action)| action));
+        let server = sent_to(&actions).expect("a new customer's request is sent within the longest hold");
+        driver.end_attempt(id, 0, server, Status::Ok);
+        if let Some((counter, _)) = call {
             calls += 1;
-            rig.event(Event::CounterReply { counter, total: None, unsure: true, elapsed: 80 * MS });
+            driver.handle(Event::CounterReply { counter, total: None, unsure: true, elapsed: 80 * MS });
         }
     }
     assert!((5..=40).contains(&calls), "{calls}");
 }
 
 #[test]
-fn a_server_full_to_one_plan_still_serves_the_others() {
-    let mut s = settings();
-    s.plans.push(plan());
-    let mut rig = Rig::new(s, &[entry(1, 0), entry(2, 0)]);
-    let full_at_one = |server| if server == ServerId(1) { Status::Rejected } else { Status::Ok };
-    let first = rig.play(1_000, full_at_one);
-    assert_eq!(first, [ServerId(1), ServerId(2)], "turned away unseen, then served elsewhere");
-    // With work out at the other server, this plan still avoids the full one; another plan goes there.
-    let mine: Vec<_> = (0..3).map(|k| sent(&rig.request(0, 500 + k, 2 * S).1)).collect();
-    assert_eq!(mine, [Some(ServerId(2)); 3]);
-    let other = rig.event(Event::Request {
+fn server_that_rejects_one_plan_is_kept_for_others() {
+    let mut settings = settings();
+    settings.plans.push(plan());
+    let mut driver = Driver::new(settings, &[entry(1, 0), entry(2, 0)]);
+    let status_for_plan_0 = |server| if server == ServerId(1) { Status::Rejected } else { Status::Ok };
+    let servers = driver.run_request(1_000, status_for_plan_0);
+    assert_eq!(servers, [ServerId(1), ServerId(2)], "rejected by server 1, then served by server 2");
+    // Although server 2 has requests in flight, this plan still avoids server 1; another plan is sent there.
+    let plan_0: Vec<_> = (0..3).map(|k| sent_to(&driver.request(0, 500 + k, 2 * S).1)).collect();
+    assert_eq!(plan_0, [Some(ServerId(2)); 3]);
+    let plan_1 = driver.handle(Event::Request {
         id: RequestId(5_000),
         class: 0,
         plan: 1,
@@ -131,34 +141,51 @@
         subset_start: 0,
         is_retry: false,
     });
-    assert_eq!(sent(&other), Some(ServerId(1)));
-    rig.run_to(rig.now + 10 * S);
-    assert_eq!(sent(&rig.request(0, 600, 2 * S).1), Some(ServerId(1)), "tried again after its pause");
+    assert_eq!(sent_to(&plan_1), Some(ServerId(1)));
+    driver.advance_to(driver.now + 10 * S);
+    assert_eq!(
+        sent_to(&driver.request(0, 600, 2 * S).1),
+        Some(ServerId(1)),
+        "plan 0 tries server 1 again after the backoff"
+    );
 }
 
 #[test]
-fn senseless_prices_and_numbers_name_their_field() {
-    let bad = |change: fn(&mut Settings)| {
-        let mut s = settings();
-        change(&mut s);
-        Gateway::new(s, 1, 0).err().map(|e| e.field)
+fn settings_error_names_the_invalid_cost_or_count() {
+    let invalid_field = |change: fn(&mut Settings)| {
+        let mut settings = settings();
+        change(&mut settings);
+        Gateway::new(settings, 1, 0).err().map(|error| error.field)
     };
-    assert_eq!(bad(|s| s.gateways = 65_536).as_deref(), Some("gateways"));
-    assert_eq!(bad(|s| s.gateways = 65_535), None);
-    assert_eq!(bad(|s| s.gateway_id = 2).as_deref(), Some("me"));
-    assert_eq!(bad(|s| s.capabilities.counter_call_cost = -0.1).as_deref(), Some("allow.count_fee"));
-    assert_eq!(bad(|s| s.capabilities.peer_message_cost = f64::NAN).as_deref(), Some("allow.peer_price"));
+    assert_eq!(invalid_field(|s| s.gateways = 65_536).as_deref(), Some("gateways"));
+    assert_eq!(invalid_field(|s| s.gateways = 65_535), None);
+    assert_eq!(invalid_field(|s| s.gateway_id = 2).as_deref(), Some("me"));
+    assert_eq!(
+        invalid_field(|s| s.capabilities.counter_call_cost = -0.1).as_deref(),
+        Some("allow.count_fee")
+    );
+    assert_eq!(
+        invalid_field(|s| s.capabilities.peer_message_cost = f64::NAN).as_deref(),
+        Some("allow.peer_price")
+    );
 }
 
-/// Plays what these gateways ask of a counter that holds one number, the calls of a round trip before the
-/// corrections they bring; how far the number is from a full store in the end, in bursts.
-fn settle(gateways: &mut [Rig], at: Micros, total: &mut f64, lose_first: bool) -> f64 {
+/// Sends a request of one customer to each gateway and plays a counter that holds `total` until no call is
+/// left. All calls of a round are handled before the corrections that follow from their replies; with
+/// `lose_first_correction`, the first correction of more than 2 units is lost. Returns how far the total is above that
+/// of a full bucket, in bursts.
+fn run_counter_rounds(
+    gateways: &mut [Driver],
+    at: Micros,
+    total: &mut f64,
+    lose_first_correction: bool,
+) -> f64 {
     let mut calls: Vec<(usize, CounterId, f64)> = Vec::new();
-    for (me, rig) in gateways.iter_mut().enumerate() {
-        let rounds: Vec<Action> = rig.run_to(at).into_iter().map(|d| d.1).collect();
-        calls.extend(call(&rounds).map(|(c, amount)| (me, c, amount)));
-        let ask = Event::Request {
-            id: RequestId(rig.now),
+    for (index, driver) in gateways.iter_mut().enumerate() {
+        let actions: Vec<Action> = driver.advance_to(at).into_iter().map(|(_, action)| action).collect();
+        calls.extend(counter_call(&actions).map(|(counter, amount)| (index, counter, amount)));
+        let request = Event::Request {
+            id: RequestId(driver.now),
             class: 0,
             plan: 0,
             customer: CustomerId(5),
@@ -168,66 +195,69 @@
             subset_start: 0,
             is_retry: false,
         };
-        calls.extend(call(&rig.event(ask)).map(|(c, amount)| (me, c, amount)));
+        let actions = driver.handle(request);
+        calls.extend(counter_call(&actions).map(|(counter, amount)| (index, counter, amount)));
     }
-    let mut first = lose_first;
+    let mut lose_next = lose_first_correction;
     while !calls.is_empty() {
-        let mut next = Vec::new();
-        for (me, counter, amount) in calls {
-            let lost = amount > 2.0 && std::mem::take(&mut first);
-            *total += if lost { 0.0 } else { amount };
-            let told = Some(*total).filter(|_| !lost);
-            let done = reply(&mut gateways[me], counter, told);
-            next.extend(call(&done).map(|(c, amount)| (me, c, amount)));
+        let mut next_calls = Vec::new();
+        for (index, counter, amount) in calls {
+            let is_lost = amount > 2.0 && std::mem::take(&mut lose_next);
+            *total += if is_lost { 0.0 } else { amount };
+            let reply_total = Some(*total).filter(|_| !is_lost);
+            let actions = reply(&mut gateways[index], counter, reply_total);
+            next_calls.extend(counter_call(&actions).map(|(counter, amount)| (index, counter, amount)));
         }
-        calls = next;
+        calls = next_calls;
     }
-    (*total - full(&gateways[0])) / 4.0
+    (*total - total_of_full_bucket(&gateways[0])) / 4.0
 }
 
-fn started(n: u64) -> Vec<Rig> {
-    let rig = |seed| {
-        let mut rig = Rig::new(counting(), &[]);
-        rig.gateway = Gateway::new(counting(), seed, S).expect("sound settings");
-        rig.timers.clear();
-        rig.event(Event::Servers { kind: ListKind::Full, entries: vec![entry(1, 0)] });
-        rig
+/// Gateways that differ in their seeds only, each with one server.
+fn start_gateways(count: u64) -> Vec<Driver> {
+    let start = |seed| {
+        let mut driver = Driver::new(settings_with_counter(), &[]);
+        driver.gateway = Gateway::new(settings_with_counter(), seed, S).expect("valid settings");
+        driver.timers.clear();
+        driver.handle(Event::Servers { kind: ListKind::Full, entries: vec![entry(1, 0)] });
+        driver
     };
-    (0..n).map(rig).collect()
+    (0..count).map(start).collect()
 }
 
 #[test]
-fn an_empty_counter_is_put_right_once_not_once_a_gateway() {
-    let mut all = started(30);
-    let off = settle(&mut all, 50 * S, &mut 0.0, false);
-    // A store is drawn down by what thirty gateways took, each a request, ten bursts at most.
-    assert!((-1.0..=10.0).contains(&off), "{off}");
+fn zeroed_counter_is_corrected_once_by_all_gateways() {
+    let mut gateways = start_gateways(30);
+    let excess_bursts = run_counter_rounds(&mut gateways, 50 * S, &mut 0.0, false);
+    // The requests of thirty gateways, of one unit each, take ten bursts at most.
+    assert!((-1.0..=10.0).contains(&excess_bursts), "{excess_bursts} bursts above a full bucket's total");
 }
 
 #[test]
-fn a_lost_correction_is_made_good_by_another() {
-    let (mut all, mut total) = (started(30), 0.0);
-    let first = settle(&mut all, 50 * S, &mut total, true);
-    assert!(first < -4.0, "lost: {first}");
-    // Later on they look one after another.
-    for at in 51..60 {
-        for one in all.chunks_mut(1) {
-            settle(one, at * S, &mut total, false);
+fn lost_correction_is_replaced_by_another_gateway() {
+    let (mut gateways, mut total) = (start_gateways(30), 0.0);
+    let excess_after_loss = run_counter_rounds(&mut gateways, 50 * S, &mut total, true);
+    assert!(excess_after_loss < -4.0, "the correction is lost: {excess_after_loss} bursts");
+    // From then on the gateways call one after another.
+    for at_s in 51..60 {
+        for gateway in gateways.chunks_mut(1) {
+            run_counter_rounds(gateway, at_s * S, &mut total, false);
         }
     }
-    let off = (total - full(&all[0])) / 4.0;
-    assert!((-1.0..=10.0).contains(&off), "{off}");
+    let excess_bursts = (total - total_of_full_bucket(&gateways[0])) / 4.0;
+    assert!((-1.0..=10.0).contains(&excess_bursts), "{excess_bursts} bursts above a full bucket's total");
 }
 
 #[test]
-fn a_correction_that_was_turned_away_goes_again() {
-    let mut rig = Rig::new(counting(), &[entry(1, 0)]);
-    rig.run_to(30 * S);
-    let (_, actions) = rig.request(0, 5, 2 * S);
-    let (counter, _) = call(&actions).expect("a call");
-    let (_, amount) = call(&reply(&mut rig, counter, Some(1.0))).expect("a correction");
-    rig.event(Event::CounterReply { counter, total: None, unsure: false, elapsed: 2 * MS });
-    let later: Vec<_> = rig.run_to(rig.now + 300 * MS).into_iter().map(|d| d.1).collect();
-    let (_, again) = call(&later).expect("another call");
-    assert!((again - amount).abs() <= 1.0, "{again} after {amount}");
+fn rejected_correction_is_sent_again() {
+    let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
+    driver.advance_to(30 * S);
+    let (_, actions) = driver.request(0, 5, 2 * S);
+    let (counter, _) = counter_call(&actions).expect("a counter call");
+    let (_, amount) = counter_call(&reply(&mut driver, counter, Some(1.0))).expect("a correction");
+    driver.handle(Event::CounterReply { counter, total: None, unsure: false, elapsed: 2 * MS });
+    let later: Vec<_> =
+        driver.advance_to(driver.now + 300 * MS).into_iter().map(|(_, action)| action).collect();
+    let (_, second_amount) = counter_call(&later).expect("another call");
+    assert!((second_amount - amount).abs() <= 1.0, "{second_amount} after {amount}");
 }
--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -1,85 +1,90 @@
-//! Further attempts and refusals, as each kind of class permits.
+//! Retries and rejections that each effect of a class allows.
 
 mod common;
 use common::*;
 use frostgauge::*;
 
-const ZONED: Effect = Effect::Keyed { group: Group::Zone, window: 500 * MS };
+/// The servers of a zone deduplicate the request for 500 ms.
+const KEYED_BY_ZONE: Effect = Effect::Keyed { group: Group::Zone, window: 500 * MS };
 
-fn first(effect: Effect) -> (Rig, RequestId, ServerId) {
-    let mut s = settings();
-    s.classes = vec![class(effect)];
-    let mut rig = Rig::new(s, &[entry(1, 0), entry(2, 1), entry(3, 0), entry(4, 1)]);
-    let (id, actions) = rig.request(0, 5, 2 * S);
-    let server = sent(&actions).expect("goes at once");
-    (rig, id, server)
+/// Sends a request of a class with this effect to four servers, the odd ones in zone 0 and the even ones in
+/// zone 1; returns its id and the server of its first attempt.
+fn send_first_attempt(effect: Effect) -> (Driver, RequestId, ServerId) {
+    let mut settings = settings();
+    settings.classes = vec![class(effect)];
+    let mut driver = Driver::new(settings, &[entry(1, 0), entry(2, 1), entry(3, 0), entry(4, 1)]);
+    let (id, actions) = driver.request(0, 5, 2 * S);
+    let server = sent_to(&actions).expect("the request is sent at once");
+    (driver, id, server)
 }
 
 #[test]
-fn a_fragile_request_that_may_have_run_fails_and_is_not_repeated() {
+fn fragile_request_that_may_have_run_is_not_retried() {
     for status in [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled] {
-        let (mut rig, id, server) = first(Effect::Fragile);
-        let actions = rig.outcome(id, 0, server, status);
+        let (mut driver, id, server) = send_first_attempt(Effect::Fragile);
+        let actions = driver.end_attempt(id, 0, server, status);
         assert!(
-            failed(&actions) && sent(&actions).is_none() && !refused(&actions),
+            is_failed(&actions) && sent_to(&actions).is_none() && !is_rejected(&actions),
             "{status:?}: {actions:?}"
         );
     }
 }
 
 #[test]
-fn a_fragile_request_that_never_ran_goes_elsewhere() {
+fn fragile_request_that_did_not_run_is_retried_elsewhere() {
     for status in [Status::Rejected, Status::ConnectFailed] {
-        let (mut rig, id, server) = first(Effect::Fragile);
-        let again = sent(&rig.outcome(id, 0, server, status));
-        assert!(again.is_some_and(|s| s != server), "{status:?}");
+        let (mut driver, id, server) = send_first_attempt(Effect::Fragile);
+        let retried_on = sent_to(&driver.end_attempt(id, 0, server, status));
+        assert!(retried_on.is_some_and(|retried_on| retried_on != server), "{status:?}");
     }
 }
 
 #[test]
-fn a_fragile_request_out_at_its_deadline_fails() {
-    let (mut rig, id, _) = first(Effect::Fragile);
-    let done = rig.run_to(4 * S);
-    assert!(done.iter().any(|(_, a)| *a == Action::Fail { id }));
-    assert!(!done.iter().any(|(_, a)| matches!(a, Action::Reject { .. })));
+fn fragile_request_in_flight_at_its_deadline_fails() {
+    let (mut driver, id, _) = send_first_attempt(Effect::Fragile);
+    let actions = driver.advance_to(4 * S);
+    assert!(actions.iter().any(|(_, action)| *action == Action::Fail { id }));
+    assert!(!actions.iter().any(|(_, action)| matches!(action, Action::Reject { .. })));
 }
 
 #[test]
-fn a_safe_request_is_repeated() {
-    let (mut rig, id, server) = first(Effect::Safe);
-    let again = sent(&rig.outcome(id, 0, server, Status::Error));
-    assert!(again.is_some_and(|s| s != server));
+fn safe_request_is_retried_on_another_server() {
+    let (mut driver, id, server) = send_first_attempt(Effect::Safe);
+    let retried_on = sent_to(&driver.end_attempt(id, 0, server, Status::Error));
+    assert!(retried_on.is_some_and(|retried_on| retried_on != server));
 }
 
 #[test]
-fn a_keyed_request_is_repeated_within_its_group_only() {
-    let (mut rig, id, server) = first(ZONED);
-    let again = sent(&rig.outcome(id, 0, server, Status::Error)).expect("goes again");
-    assert_ne!(again, server);
-    assert_eq!(again.0 % 2, server.0 % 2, "the same zone");
+fn keyed_request_is_retried_within_its_group_only() {
+    let (mut driver, id, server) = send_first_attempt(KEYED_BY_ZONE);
+    let retried_on =
+        sent_to(&driver.end_attempt(id, 0, server, Status::Error)).expect("the request is retried");
+    assert_ne!(retried_on, server);
+    assert_eq!(retried_on.0 % 2, server.0 % 2, "the retry stays in the zone");
 }
 
 #[test]
-fn a_keyed_request_is_not_repeated_once_its_window_is_over() {
-    let (mut rig, id, server) = first(ZONED);
-    rig.now += 501 * MS;
-    let actions = rig.outcome(id, 0, server, Status::Error);
-    assert!(failed(&actions) && sent(&actions).is_none());
+fn keyed_request_is_not_retried_after_its_window() {
+    let (mut driver, id, server) = send_first_attempt(KEYED_BY_ZONE);
+    driver.now += 501 * MS;
+    let actions = driver.end_attempt(id, 0, server, Status::Error);
+    assert!(is_failed(&actions) && sent_to(&actions).is_none());
 }
 
 #[test]
-fn a_keyed_request_whose_repeats_all_servers_drop_may_be_refused() {
-    let (mut rig, id, server) = first(Effect::Keyed { group: Group::All, window: 500 * MS });
-    rig.now += 501 * MS;
-    assert!(refused(&rig.outcome(id, 0, server, Status::Error)));
+fn request_deduplicated_by_all_servers_may_be_rejected() {
+    let (mut driver, id, server) = send_first_attempt(Effect::Keyed { group: Group::All, window: 500 * MS });
+    driver.now += 501 * MS;
+    assert!(is_rejected(&driver.end_attempt(id, 0, server, Status::Error)));
 }
 
 #[test]
-fn attempts_stop_at_the_cap() {
-    let (mut rig, id, mut server) = first(Effect::Safe);
+fn attempts_stop_at_the_maximum() {
+    let (mut driver, id, mut server) = send_first_attempt(Effect::Safe);
     for attempt in 0..3 {
-        server = sent(&rig.outcome(id, attempt, server, Status::Error)).expect("within the cap");
+        server = sent_to(&driver.end_attempt(id, attempt, server, Status::Error))
+            .expect("the maximum is not reached");
     }
-    let actions = rig.outcome(id, 3, server, Status::Error);
-    assert!(refused(&actions) && sent(&actions).is_none());
+    let actions = driver.end_attempt(id, 3, server, Status::Error);
+    assert!(is_rejected(&actions) && sent_to(&actions).is_none());
 }
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -1,4 +1,4 @@
-//! Any legal order of events keeps the rules; the orders are drawn from a fixed seed.
+//! The gateway keeps its invariants in any valid order of events; the orders are generated from a fixed seed.
 
 mod common;
 use common::*;
@@ -7,13 +7,20 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
+/// A step of a generated sequence. `selector` chooses among the requests that the step can apply to, modulo
+/// their number.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Lets this time pass, ms.
     Wait(u64),
-    Arrive { class: usize, customer: u64, patience: u64 },
-    End { pick: usize, status: Status },
-    Leave { pick: usize },
-    List { server: u64, state: State },
+    /// A client sends a request.
+    Request { class: usize, customer: u64, timeout_ms: u64 },
+    /// An attempt in flight ends.
+    EndAttempt { selector: usize, status: Status },
+    /// The client of an unanswered request disconnects.
+    Disconnect { selector: usize },
+    /// A list update reports the state of a server.
+    UpdateServer { server: u64, state: State },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -30,123 +37,159 @@
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
-            .prop_map(|(class, customer, patience)| Step::Arrive { class, customer, patience }),
-        5 => (any::<prop::sample::Index>(), status).prop_map(|(i, status)| Step::End { pick: i.index(1 << 16), status }),
-        1 => any::<prop::sample::Index>().prop_map(|i| Step::Leave { pick: i.index(1 << 16) }),
-        1 => (1u64..7, state).prop_map(|(server, state)| Step::List { server, state }),
+            .prop_map(|(class, customer, timeout_ms)| Step::Request { class, customer, timeout_ms }),
+        5 => (any::<prop::sample::Index>(), status)
+            .prop_map(|(index, status)| Step::EndAttempt { selector: index.index(1 << 16), status }),
+        1 => any::<prop::sample::Index>().prop_map(|index| Step::Disconnect { selector: index.index(1 << 16) }),
+        1 => (1u64..7, state).prop_map(|(server, state)| Step::UpdateServer { server, state }),
     ]
 }
 
-struct Seen {
+/// Statuses that show that an attempt did not run.
+const NOT_RUN: [Status; 3] = [Status::Rejected, Status::ConnectFailed, Status::NotSent];
+
+/// An attempt that the gateway sent.
+struct SentAttempt {
+    server: ServerId,
+    sent_at: Micros,
+    /// `None` while the attempt is in flight.
+    status: Option<Status>,
+}
+
+/// A request as observed from outside the gateway.
+struct ObservedRequest {
     class: usize,
-    due: Micros,
-    answers: usize,
+    customer: u64,
+    /// Latest time for a final answer or an attempt, µs.
+    deadline: Micros,
+    final_answers: usize,
+    /// The request has its final answer, or its client disconnected.
     closed: bool,
-    sends: Vec<(ServerId, Micros, Option<Status>)>,
+    attempts: Vec<SentAttempt>,
 }
 
 fn zone(server: ServerId) -> u64 {
     server.0 % 2
 }
 
-/// Follows the actions and checks each against the rules.
-struct Watcher {
-    rig: Rig,
-    seen: BTreeMap<RequestId, Seen>,
-    ready: BTreeMap<ServerId, bool>,
-    granted: BTreeMap<u64, f64>,
-    owners: BTreeMap<RequestId, u64>,
+/// Drives a gateway and checks each of its actions against the invariants.
+struct Checker {
+    driver: Driver,
+    requests: BTreeMap<RequestId, ObservedRequest>,
+    is_ready: BTreeMap<ServerId, bool>,
+    /// Units sent so far, by customer.
+    units_sent: BTreeMap<u64, f64>,
 }
 
-impl Watcher {
+impl Checker {
     fn check(&mut self, at: Micros, action: &Action) {
         match action {
             Action::Send { id, server, .. } => {
-                let r = self.seen.get_mut(id).expect("a known request");
-                assert!(!r.closed && r.answers == 0, "sent after its end");
-                assert!(at <= r.due);
-                assert_eq!(self.ready.get(server), Some(&true), "sent to a server that is not ready");
-                assert!(r.sends.iter().all(|s| s.2.is_some()), "two attempts at once");
-                assert!(r.sends.len() < 4);
-                let proven = [Status::Rejected, Status::ConnectFailed, Status::NotSent];
-                if let Some(ran) = r.sends.iter().find(|s| s.2.is_some_and(|x| !proven.contains(&x))) {
-                    match r.class {
-                        1 => panic!("a fragile request sent again"),
-                        2 => assert!(zone(ran.0) == zone(*server) && at < ran.1 + 500 * MS),
+                let request = self.requests.get_mut(id).expect("a known request");
+                let is_open = !request.closed && request.final_answers == 0;
+                assert!(is_open, "sent after its final answer or after its client disconnected");
+                assert!(at <= request.deadline, "sent after its deadline");
+                assert_eq!(self.is_ready.get(server), Some(&true), "sent to a server that is not ready");
+                let none_in_flight = request.attempts.iter().all(|attempt| attempt.status.is_some());
+                assert!(none_in_flight, "two attempts in flight at once");
+                assert!(request.attempts.len() < 4, "more than four attempts");
+                let may_have_run =
+                    |attempt: &&SentAttempt| attempt.status.is_some_and(|status| !NOT_RUN.contains(&status));
+                if let Some(ran) = request.attempts.iter().find(may_have_run) {
+                    match request.class {
+                        1 => panic!("a fragile request was retried after it may have run"),
+                        2 => {
+                            assert!(
+                                zone(ran.server) == zone(*server),
+                                "a keyed request was retried in another zone"
+                            );
+                            assert!(
+                                at < ran.sent_at + 500 * MS,
+                                "a keyed request was retried after its window"
+                            );
+                        }
                         _ => {}
                     }
                 }
-                if r.sends.is_empty() {
-                    *self.granted.entry(self.owners[id]).or_default() += 1.0;
+                if request.attempts.is_empty() {
+                    *self.units_sent.entry(request.customer).or_default() += 1.0;
                 }
-                r.sends.push((*server, at, None));
+                request.attempts.push(SentAttempt { server: *server, sent_at: at, status: None });
             }
             Action::Reject { id, .. } | Action::Fail { id } => {
-                let r = self.seen.get_mut(id).expect("a known request");
-                assert!(!r.closed, "answered after its end");
-                let proven = [Status::Rejected, Status::ConnectFailed, Status::NotSent];
-                if matches!(action, Action::Reject { .. }) && (r.class == 1 || r.class == 2) {
-                    assert!(
-                        r.sends.iter().all(|s| s.2.is_some_and(|x| proven.contains(&x))),
-                        "refused after it may have run"
-                    );
+                let request = self.requests.get_mut(id).expect("a known request");
+                assert!(!request.closed, "a second final answer, or one after the client disconnected");
+                if matches!(action, Action::Reject { .. }) && (request.class == 1 || request.class == 2) {
+                    let did_not_run = |attempt: &SentAttempt| {
+                        attempt.status.is_some_and(|status| NOT_RUN.contains(&status))
+                    };
+                    assert!(request.attempts.iter().all(did_not_run), "rejected after it may have run");
                 }
-                assert!(at <= r.due, "answered too late");
-                r.answers += 1;
-                r.closed = true;
+                assert!(at <= request.deadline, "answered after its deadline");
+                request.final_answers += 1;
+                request.closed = true;
             }
             _ => {}
         }
-        // The even slice of the ceiling: half of 6 a second, of 8 at once and of 2 more.
-        let filled = 3.0 * (at - S) as f64 / 1e6;
+        // The even share of the ceiling: half of 6 units per second, and nothing of the burst at the start.
+        let units_allowed = 3.0 * (at - S) as f64 / 1e6;
         assert!(
-            self.granted.values().all(|g| *g <= filled + 1e-6),
-            "more than the slice has filled since the start"
+            self.units_sent.values().all(|units| *units <= units_allowed + 1e-6),
+            "more units sent than the share of the ceiling has filled since the start"
         );
     }
 
-    fn event(&mut self, event: Event) {
-        let now = self.rig.now;
-        for action in self.rig.event(event) {
+    fn handle(&mut self, event: Event) {
+        let now = self.driver.now;
+        for action in self.driver.handle(event) {
             self.check(now, &action);
         }
     }
 
-    fn wait(&mut self, until: Micros) {
-        for (at, action) in self.rig.run_to(until) {
+    fn advance_to(&mut self, end: Micros) {
+        for (at, action) in self.driver.advance_to(end) {
             self.check(at, &action);
         }
     }
 }
 
-fn play(steps: Vec<Step>) {
-    let mut s = settings();
+/// Runs the steps against a gateway with a safe, a fragile and two keyed classes, then lets 5 s pass, in
+/// which each request left must get its final answer.
+fn run(steps: Vec<Step>) {
+    let mut settings = settings();
     let keyed = |group| class(Effect::Keyed { group, window: 500 * MS });
-    s.classes = vec![class(Effect::Safe), class(Effect::Fragile), keyed(Group::Zone), keyed(Group::All)];
-    s.plans[0] =
+    settings.classes =
+        vec![class(Effect::Safe), class(Effect::Fragile), keyed(Group::Zone), keyed(Group::All)];
+    settings.plans[0] =
         Plan { ceiling_rate: 6.0, ceiling_burst: 8.0, ceiling_slack: 2.0, rate: 5.0, burst: 8.0, ..plan() };
     let servers: Vec<_> = (1..5).map(|k| entry(k, (k % 2) as u32)).collect();
-    let rig = Rig::new(s, &servers);
-    let ready = servers.iter().map(|e| (e.server, true)).collect();
-    let mut w =
-        Watcher { rig, seen: BTreeMap::new(), ready, granted: BTreeMap::new(), owners: BTreeMap::new() };
-    let mut next = 0;
+    let driver = Driver::new(settings, &servers);
+    let is_ready = servers.iter().map(|entry| (entry.server, true)).collect();
+    let mut checker = Checker { driver, requests: BTreeMap::new(), is_ready, units_sent: BTreeMap::new() };
+    let mut last_request_id = 0;
     for step in steps {
         match step {
-            Step::Wait(ms) => w.wait(w.rig.now + ms * MS),
-            Step::Arrive { class, customer, patience } => {
-                next += 1;
-                let id = RequestId(next);
-                let due = w.rig.now + patience * MS + 8 * MS;
-                w.seen.insert(id, Seen { class, due, answers: 0, closed: false, sends: vec![] });
-                w.owners.insert(id, customer);
-                let customer = CustomerId(customer);
-                let timeout = patience * MS;
-                w.event(Event::Request {
+            Step::Wait(ms) => checker.advance_to(checker.driver.now + ms * MS),
+            Step::Request { class, customer, timeout_ms } => {
+                last_request_id += 1;
+                let id = RequestId(last_request_id);
+                let timeout = timeout_ms * MS;
+                // A final answer still counts 8 ms after the timeout.
+                let deadline = checker.driver.now + timeout + 8 * MS;
+                let request = ObservedRequest {
+                    class,
+                    customer,
+                    deadline,
+                    final_answers: 0,
+                    closed: false,
+                    attempts: vec![],
+                };
+                checker.requests.insert(id, request);
+                checker.handle(Event::Request {
                     id,
                     class,
                     plan: 0,
-                    customer,
+                    customer: CustomerId(customer),
                     timeout,
                     units: 1.0,
                     subset_size: 2,
@@ -154,25 +197,30 @@
                     is_retry: false,
                 });
             }
-            Step::End { pick, status } => {
-                let out: Vec<_> = w
-                    .seen
+            Step::EndAttempt { selector, status } => {
+                let has_attempt_in_flight = |request: &ObservedRequest| {
+                    request.attempts.last().is_some_and(|attempt| attempt.status.is_none())
+                };
+                let in_flight: Vec<_> = checker
+                    .requests
                     .iter()
-                    .filter(|(_, r)| r.sends.last().is_some_and(|s| s.2.is_none()))
+                    .filter(|(_, request)| has_attempt_in_flight(request))
                     .map(|(id, _)| *id)
                     .collect();
-                let Some(id) = (!out.is_empty()).then(|| out[pick % out.len()]) else { continue };
-                let r = w.seen.get_mut(&id).expect("just listed");
-                let attempt = r.sends.len() - 1;
-                let (server, sent, end) = &mut r.sends[attempt];
-                *end = Some(status);
-                let (server, elapsed) = (*server, w.rig.now - *sent);
-                let closed = r.closed || status == Status::Ok;
-                r.closed = closed;
-                let attempt = attempt as u32;
-                w.event(Event::Outcome {
+                if in_flight.is_empty() {
+                    continue;
+                }
+                let id = in_flight[selector % in_flight.len()];
+                let request = checker.requests.get_mut(&id).expect("just listed");
+                let number = request.attempts.len() - 1;
+                let attempt = &mut request.attempts[number];
+                attempt.status = Some(status);
+                let (server, elapsed) = (attempt.server, checker.driver.now - attempt.sent_at);
+                request.closed |= status == Status::Ok;
+                let closed = request.closed;
+                checker.handle(Event::Outcome {
                     id,
-                    attempt,
+                    attempt: number as u32,
                     server,
                     status,
                     elapsed,
@@ -182,35 +230,43 @@
                     load: None,
                 });
             }
-            Step::Leave { pick } => {
-                let open: Vec<_> = w.seen.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
-                let Some(id) = (!open.is_empty()).then(|| open[pick % open.len()]) else { continue };
-                w.seen.get_mut(&id).expect("just listed").closed = true;
-                w.event(Event::ClientGone { id });
+            Step::Disconnect { selector } => {
+                let open: Vec<_> = checker
+                    .requests
+                    .iter()
+                    .filter(|(_, request)| !request.closed)
+                    .map(|(id, _)| *id)
+                    .collect();
+                if open.is_empty() {
+                    continue;
+                }
+                let id = open[selector % open.len()];
+                checker.requests.get_mut(&id).expect("just listed").closed = true;
+                checker.handle(Event::ClientGone { id });
             }
-            Step::List { server, state } => {
-                let e = Entry { state, ..entry(server, (server % 2) as u32) };
-                w.ready.insert(e.server, state == State::Ready);
-                w.event(Event::Servers { kind: ListKind::Delta, entries: vec![e] });
+            Step::UpdateServer { server, state } => {
+                let entry = Entry { state, ..entry(server, (server % 2) as u32) };
+                checker.is_ready.insert(entry.server, state == State::Ready);
+                checker.handle(Event::Servers { kind: ListKind::Delta, entries: vec![entry] });
             }
         }
     }
-    w.wait(w.rig.now + 5 * S);
-    for (id, r) in &w.seen {
-        assert!(r.closed && r.answers <= 1, "{id:?} was left without an answer");
+    checker.advance_to(checker.driver.now + 5 * S);
+    for (id, request) in &checker.requests {
+        assert!(request.closed && request.final_answers <= 1, "{id:?} has no final answer, or more than one");
     }
 }
 
 #[test]
-fn legal_orders_keep_the_rules() {
+fn any_valid_order_of_events_keeps_the_invariants() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[29; 32]);
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec(step(), 1..250);
     runner
         .run(&steps, |steps| {
-            play(steps);
+            run(steps);
             Ok(())
         })
-        .expect("every order keeps the rules");
+        .expect("every order of events keeps the invariants");
 }
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -1,141 +1,142 @@
-//! The delay rule, the bucket and the metered share, by numbers worked out by hand.
+//! The pacer's delay, the quota's token bucket and the share by metered usage, against values computed by hand.
 
 mod common;
 use common::*;
 use frostgauge::*;
 
-/// Servers enough that only the quota decides.
-fn rig(settings: Settings) -> Rig {
-    Rig::new(settings, &(1..=10).map(|k| entry(k, 0)).collect::<Vec<_>>())
+/// A gateway with ten servers: enough that only the quota limits it.
+fn driver(settings: Settings) -> Driver {
+    Driver::new(settings, &(1..=10).map(|k| entry(k, 0)).collect::<Vec<_>>())
 }
 
-/// Sends `n` requests of customer 5 now; how many went at once, were refused at once, were held.
-fn burst(rig: &mut Rig, n: usize) -> (usize, usize, usize) {
-    let all: Vec<_> = (0..n).map(|_| rig.request(0, 5, 2 * S).1).collect();
-    let went = all.iter().filter(|a| sent(a).is_some()).count();
-    let turned = all.iter().filter(|a| refused(a)).count();
-    (went, turned, n - went - turned)
+/// Sends requests of customer 5 now; how many of them are sent at once, rejected at once, and held.
+fn burst(driver: &mut Driver, count: usize) -> (usize, usize, usize) {
+    let actions: Vec<_> = (0..count).map(|_| driver.request(0, 5, 2 * S).1).collect();
+    let sent = actions.iter().filter(|actions| sent_to(actions).is_some()).count();
+    let rejected = actions.iter().filter(|actions| is_rejected(actions)).count();
+    (sent, rejected, count - sent - rejected)
 }
 
 #[test]
-fn a_new_customer_starts_full_and_without_delay() {
-    let mut rig = rig(settings());
-    // The even slice of a burst of 4 over two gateways is full at the first request, which sees all 4.
-    let (went, turned, held) = burst(&mut rig, 6);
-    assert_eq!((went + turned, held), (6, 0), "no delay yet, so none is held");
-    assert!((2..=4).contains(&went), "{went}");
+fn new_customer_starts_with_full_bucket_and_no_delay() {
+    let mut driver = driver(settings());
+    // The bucket starts full with the burst of 4; this gateway's even share of it is 2.
+    let (sent, rejected, held) = burst(&mut driver, 6);
+    assert_eq!((sent + rejected, held), (6, 0), "no request is held while there is no delay");
+    assert!((2..=4).contains(&sent), "{sent} sent");
 }
 
 #[test]
-fn over_speed_makes_a_delay_and_uncovered_requests_leave_one_per_delay() {
-    let mut rig = rig(settings());
-    burst(&mut rig, 20);
-    rig.run_to(S + 500 * MS);
-    // 20 units in half a second are 40 a second, 39 over the even slice of 1. At most 4 are open, so the
-    // first delay is at least 39 / 5 ms and at most 39 ms (a previous zero counts as one).
-    let (_, turned, held) = burst(&mut rig, 6);
-    assert_eq!(turned, 0, "none is refused before its delay is over");
+fn requests_over_quota_are_released_one_per_delay() {
+    let mut driver = driver(settings());
+    burst(&mut driver, 20);
+    driver.advance_to(S + 500 * MS);
+    // 20 units in half a second are 40 per second, 39 above the even share of 1. At most 4 requests are in
+    // flight, so the first delay is at least 39 / 5 ms and at most 39 ms (a previous delay of 0 counts as 1
+    // ms).
+    let (_, rejected, held) = burst(&mut driver, 6);
+    assert_eq!(rejected, 0, "no request is rejected before its delay is over");
     assert!(held >= 5);
-    let done = rig.run_to(S + 900 * MS);
-    let times: Vec<_> =
-        done.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).map(|d| d.0).collect();
+    let actions = driver.advance_to(S + 900 * MS);
+    let rejections = actions.iter().filter(|(_, action)| matches!(action, Action::Reject { .. }));
+    let times: Vec<_> = rejections.map(|(at, _)| *at).collect();
     assert!(times.len() >= 4, "{times:?}");
-    assert!(times.windows(2).take(2).all(|w| w[1] - w[0] >= 7 * MS), "{times:?}");
-    let last = times.iter().max().expect("some left");
-    assert!(*last <= S + 500 * MS + 90 * MS, "a hold is capped at 15% of the aim: {last}");
+    assert!(times.windows(2).take(2).all(|pair| pair[1] - pair[0] >= 7 * MS), "{times:?}");
+    let last = times.iter().max().expect("at least four rejections");
+    assert!(*last <= S + 500 * MS + 90 * MS, "the longest hold is 15% of the latency objective: {last}");
 }
 
 #[test]
-fn a_refusal_tells_when_the_bucket_holds_the_units_again() {
-    let mut rig = rig(settings());
-    burst(&mut rig, 4);
-    let (_, actions) = rig.request(0, 5, 2 * S);
-    // Empty bucket, one unit, filled at the even slice of one a second.
+fn retry_after_is_the_time_until_the_bucket_has_the_units() {
+    let mut driver = driver(settings());
+    burst(&mut driver, 4);
+    let (_, actions) = driver.request(0, 5, 2 * S);
+    // The bucket is empty and refills at the even share of 1 unit per second; the request needs 1 unit.
     assert!(matches!(actions[..], [Action::Reject { retry_after: 1_000_000, .. }]), "{actions:?}");
 }
 
 #[test]
-fn the_even_slice_serves_while_nothing_is_metered() {
-    let mut rig = rig(settings());
-    burst(&mut rig, 10);
-    let mut went = 0;
+fn even_share_is_served_while_usage_is_not_metered() {
+    let mut driver = driver(settings());
+    burst(&mut driver, 10);
+    let mut sent = 0;
     for k in 0..100 {
-        rig.run_to(S + (k + 1) * 100 * MS);
-        let (id, actions) = rig.request(0, 5, 2 * S);
-        let mut done = actions;
-        done.extend(rig.run_to(rig.now + 95 * MS).into_iter().map(|d| d.1));
-        if let Some(server) = sent(&done) {
-            went += 1;
-            rig.outcome(id, 0, server, Status::Ok);
+        driver.advance_to(S + (k + 1) * 100 * MS);
+        let (id, mut actions) = driver.request(0, 5, 2 * S);
+        actions.extend(driver.advance_to(driver.now + 95 * MS).into_iter().map(|(_, action)| action));
+        if let Some(server) = sent_to(&actions) {
+            sent += 1;
+            driver.end_attempt(id, 0, server, Status::Ok);
         }
     }
-    assert!((9..=11).contains(&went), "ten seconds at one a second: {went}");
+    assert!((9..=11).contains(&sent), "{sent} sent in ten seconds at 1 per second");
 }
 
 #[test]
-fn a_metered_share_of_all_use_fills_the_bucket_at_the_whole_quota() {
-    let mut s = settings();
-    s.capabilities.usage_period = 500 * MS;
-    let mut rig = rig(s);
-    burst(&mut rig, 10);
-    let mut went = 0;
+fn gateway_with_all_metered_usage_gets_the_whole_quota() {
+    let mut settings = settings();
+    settings.capabilities.usage_period = 500 * MS;
+    let mut driver = driver(settings);
+    burst(&mut driver, 10);
+    let mut sent = 0;
     for k in 0..100 {
-        rig.run_to(S + (k + 1) * 100 * MS);
-        let (id, actions) = rig.request(0, 5, 2 * S);
-        let mut done = actions;
-        done.extend(rig.run_to(rig.now + 95 * MS).into_iter().map(|d| d.1));
-        if let Some(server) = sent(&done) {
-            went += 1;
-            rig.event(Event::Outcome {
+        driver.advance_to(S + (k + 1) * 100 * MS);
+        let (id, mut actions) = driver.request(0, 5, 2 * S);
+        actions.extend(driver.advance_to(driver.now + 95 * MS).into_iter().map(|(_, action)| action));
+        if let Some(server) = sent_to(&actions) {
+            sent += 1;
+            driver.handle(Event::Outcome {
                 id,
                 attempt: 0,
                 server,
                 status: Status::Ok,
                 elapsed: 30 * MS,
                 closed: true,
-                usage: Some(0.5), // all use there is, and it is ours
+                usage: Some(0.5), // of the quota, all of it through this gateway
                 settled_units: None,
                 load: None,
             });
         }
     }
-    assert!(went >= 15, "near two a second over ten seconds: {went}");
+    assert!(sent >= 15, "{sent} sent in ten seconds at nearly 2 per second");
 }
 
 #[test]
-fn a_try_with_little_time_is_not_held_for_most_of_it() {
-    let mut rig = rig(settings());
+fn request_with_short_timeout_is_held_under_half_of_it() {
+    let mut driver = driver(settings());
     for _ in 0..8 {
-        burst(&mut rig, 20);
-        rig.run_to(rig.now + 250 * MS);
+        burst(&mut driver, 20);
+        driver.advance_to(driver.now + 250 * MS);
     }
     // The pacer's delay is long by now.
-    let began = rig.now;
+    let start = driver.now;
     let held: Vec<_> = (0..10)
-        .map(|_| rig.request(0, 5, 130 * MS))
-        .filter(|(_, a)| !refused(a) && sent(a).is_none())
+        .map(|_| driver.request(0, 5, 130 * MS))
+        .filter(|(_, actions)| !is_rejected(actions) && sent_to(actions).is_none())
         .collect();
-    assert!(held.len() >= 5, "{}", held.len());
-    let done = rig.run_to(began + 130 * MS);
+    assert!(held.len() >= 5, "{} of 10 held", held.len());
+    let actions = driver.advance_to(start + 130 * MS);
     for (id, _) in held {
-        let at = done.iter().find(|(_, a)| matches!(a, Action::Reject { id: of, .. } if *of == id));
-        let at = at.expect("refused").0;
-        assert!(at < began + 65 * MS, "held for {} of 130 ms", (at - began) / MS);
+        let is_rejection =
+            |action: &Action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id);
+        let (rejected_at, _) =
+            *actions.iter().find(|(_, action)| is_rejection(action)).expect("the held request is rejected");
+        assert!(rejected_at < start + 65 * MS, "held for {} of 130 ms", (rejected_at - start) / MS);
     }
 }
 
 #[test]
-fn a_hundred_thousand_customers_seen_once_are_forgotten() {
-    let mut rig = rig(settings());
+fn customers_seen_once_are_forgotten() {
+    let mut driver = driver(settings());
     for k in 0..100_000 {
-        rig.run_to(rig.now + MS);
-        let (id, actions) = rig.request(0, 1_000 + k, 100 * MS);
-        if let Some(server) = sent(&actions) {
-            rig.outcome(id, 0, server, Status::Ok);
+        driver.advance_to(driver.now + MS);
+        let (id, actions) = driver.request(0, 1_000 + k, 100 * MS);
+        if let Some(server) = sent_to(&actions) {
+            driver.end_attempt(id, 0, server, Status::Ok);
         }
     }
-    // Their stores are full again within some seconds; those seen before that are gone already.
-    assert!(rig.gateway.customers() < 10_000, "{}", rig.gateway.customers());
-    rig.run_to(rig.now + 10 * S);
-    assert_eq!(rig.gateway.customers(), 0);
+    // A customer is dropped once its buckets are full again, which takes some seconds.
+    assert!(driver.gateway.customers() < 10_000, "{} customers", driver.gateway.customers());
+    driver.advance_to(driver.now + 10 * S);
+    assert_eq!(driver.gateway.customers(), 0);
 }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -1,117 +1,124 @@
-//! Drains, cold servers and ejection.
+//! Updates of the server list, slow start of cold servers and ejection of failing ones.
 
 mod common;
 use common::*;
 use frostgauge::*;
 
+/// A list update with one changed entry.
 fn delta(entry: Entry, state: State) -> Event {
     Event::Servers { kind: ListKind::Delta, entries: vec![Entry { state, ..entry }] }
 }
 
 #[test]
-fn a_draining_or_gone_server_gets_nothing_new() {
+fn draining_or_removed_server_gets_no_requests() {
     for state in [State::Draining, State::Gone] {
-        let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0)]);
-        rig.event(delta(entry(1, 0), state));
+        let mut driver = Driver::new(settings(), &[entry(1, 0), entry(2, 0)]);
+        driver.handle(delta(entry(1, 0), state));
         for customer in 0..8 {
-            assert_eq!(rig.play(customer, |_| Status::Ok), [ServerId(2)]);
+            assert_eq!(driver.run_request(customer, |_| Status::Ok), [ServerId(2)]);
         }
     }
 }
 
 #[test]
-fn a_server_missing_from_a_complete_list_gets_nothing_new() {
-    let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    rig.event(Event::Servers { kind: ListKind::Full, entries: vec![entry(2, 0)] });
+fn server_missing_from_a_full_list_gets_no_requests() {
+    let mut driver = Driver::new(settings(), &[entry(1, 0), entry(2, 0)]);
+    driver.handle(Event::Servers { kind: ListKind::Full, entries: vec![entry(2, 0)] });
     for customer in 0..8 {
-        assert_eq!(rig.play(customer, |_| Status::Ok), [ServerId(2)]);
+        assert_eq!(driver.run_request(customer, |_| Status::Ok), [ServerId(2)]);
     }
 }
 
 #[test]
-fn a_failed_list_keeps_the_old_one_and_asks_again() {
-    let mut rig = Rig::new(settings(), &[entry(1, 0)]);
-    let actions = rig.event(Event::Servers { kind: ListKind::Failed, entries: vec![] });
+fn failed_list_keeps_the_old_one_and_resubscribes() {
+    let mut driver = Driver::new(settings(), &[entry(1, 0)]);
+    let actions = driver.handle(Event::Servers { kind: ListKind::Failed, entries: vec![] });
     assert_eq!(actions, [Action::Watch]);
-    assert!(sent(&rig.request(0, 1, S).1).is_some());
+    assert!(sent_to(&driver.request(0, 1, S).1).is_some());
 }
 
-/// Sends to server 2 within the window of the fall rule after it came up cold beside a warm one.
-fn sends_to_a_cold_server(offered: u64) -> usize {
-    let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, &[entry(1, 0)]);
-    let mut to_cold = 0;
-    let mut out = std::collections::VecDeque::new();
+/// Attempts sent to server 2 within the collapse time of 1.5 s after it starts cold beside a warm server,
+/// while `offered` requests come in per 1.5 s.
+fn count_sent_to_cold_server(offered: u64) -> usize {
+    let mut driver = Driver::new(Settings { gateways: 1, ..settings() }, &[entry(1, 0)]);
+    let mut sent_to_cold = 0;
+    let mut in_flight = std::collections::VecDeque::new();
     for k in 0..3 * offered {
-        rig.run_to(S + k * 1_500 * MS / offered);
+        driver.advance_to(S + k * 1_500 * MS / offered);
         if k == 2 * offered {
-            rig.event(delta(Entry { ready_at: rig.now, ..entry(2, 0) }, State::Ready));
+            driver.handle(delta(Entry { ready_at: driver.now, ..entry(2, 0) }, State::Ready));
         }
-        let (id, actions) = rig.request(0, 100 + k, 2 * S);
-        let Some(server) = sent(&actions) else { continue };
-        to_cold += usize::from(server == ServerId(2));
-        out.push_back((id, server));
-        if out.len() as u64 > 2 + k / 40 {
-            let (id, server) = out.pop_front().expect("not empty");
-            rig.outcome(id, 0, server, Status::Ok);
+        let (id, actions) = driver.request(0, 100 + k, 2 * S);
+        let Some(server) = sent_to(&actions) else { continue };
+        sent_to_cold += usize::from(server == ServerId(2));
+        in_flight.push_back((id, server));
+        if in_flight.len() as u64 > 2 + k / 40 {
+            let (id, server) = in_flight.pop_front().expect("not empty");
+            driver.end_attempt(id, 0, server, Status::Ok);
         }
     }
-    to_cold
+    sent_to_cold
 }
 
 #[test]
-fn a_cold_server_gets_some_work_but_less_than_its_part_of_the_fall_budget() {
-    let got = sends_to_a_cold_server(150);
-    // A tenth of the ramp at the window's middle: 0.2 + 0.8 * 0.075 of the 150 a warm one takes, times 3.
-    assert!(got >= 1 && (got as f64) < 3.0 * 0.26 * 150.0, "{got}");
+fn cold_server_is_sent_less_than_would_collapse_it() {
+    let sent = count_sent_to_cold_server(150);
+    // Halfway through the collapse time, the server has 0.2 + 0.8 * 0.075 of its capacity. It collapses when
+    // sent three times that part of the 150 requests that a warm one takes.
+    assert!(sent >= 1 && (sent as f64) < 3.0 * 0.26 * 150.0, "{sent} sent");
 }
 
 #[test]
-fn a_server_that_fails_fast_is_left_and_tried_again_later() {
-    let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-    let fails_first = |s| if s == ServerId(1) { Status::Error } else { Status::Ok };
-    let bad: usize =
-        (0..60).map(|k| rig.play(100 + k, fails_first).iter().filter(|s| **s == ServerId(1)).count()).sum();
-    assert!((1..=6).contains(&bad), "{bad}");
-    rig.run_to(rig.now + 20 * S);
-    let open: Vec<_> = (0..6).filter_map(|k| sent(&rig.request(0, 300 + k, 2 * S).1)).collect();
-    assert!(open.contains(&ServerId(1)), "tried again: {open:?}");
+fn failing_server_is_avoided_and_tried_again_later() {
+    let mut driver = Driver::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
+    let status = |server| if server == ServerId(1) { Status::Error } else { Status::Ok };
+    let servers: Vec<_> = (0..60).flat_map(|k| driver.run_request(100 + k, status)).collect();
+    let failed = servers.iter().filter(|server| **server == ServerId(1)).count();
+    assert!((1..=6).contains(&failed), "{failed} attempts at the failing server");
+    driver.advance_to(driver.now + 20 * S);
+    let later: Vec<_> = (0..6).filter_map(|k| sent_to(&driver.request(0, 300 + k, 2 * S).1)).collect();
+    assert!(later.contains(&ServerId(1)), "the failing server is not tried again: {later:?}");
 }
 
 #[test]
-fn when_most_servers_look_bad_no_verdict_is_trusted() {
-    let mut rig = Rig::new(settings(), &[entry(1, 0), entry(2, 0)]);
+fn ejections_are_ignored_when_most_servers_fail() {
+    let mut driver = Driver::new(settings(), &[entry(1, 0), entry(2, 0)]);
     for k in 0..40 {
-        rig.play(100 + k, |_| Status::Reset);
+        driver.run_request(100 + k, |_| Status::Reset);
     }
-    assert!(!rig.play(500, |_| Status::Ok).is_empty());
+    assert!(!driver.run_request(500, |_| Status::Ok).is_empty());
 }
 
-/// How many of ten servers take some of twenty requests out at once, each second, while one outcome in `bad` is an
-/// error wherever it comes from.
-fn in_use_while_errors_come_alike_at_all(bad: u64) -> Vec<usize> {
+/// Sends 20 concurrent requests every 100 ms to ten servers, while one in `outcomes_per_error` outcomes is an
+/// error, whichever the server. Returns for each second how many servers were sent some of its last 20
+/// requests.
+fn servers_in_use_with_uniform_errors(outcomes_per_error: u64) -> Vec<usize> {
     let servers: Vec<_> = (1..=10).map(|k| entry(k, 0)).collect();
-    let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, &servers);
+    let mut driver = Driver::new(Settings { gateways: 1, ..settings() }, &servers);
     let (mut customer, mut in_use) = (100, Vec::new());
-    let mut ends = 7u64;
+    let mut random = 7u64;
     for round in 0..150 {
-        rig.run_to(rig.now + 100 * MS);
-        let mut out = Vec::new();
+        driver.advance_to(driver.now + 100 * MS);
+        let mut in_flight = Vec::new();
         for _ in 0..20 {
             customer += 1;
-            let (id, actions) = rig.request(0, customer, 2 * S);
-            out.extend(sent(&actions).map(|server| (id, server)));
+            let (id, actions) = driver.request(0, customer, 2 * S);
+            in_flight.extend(sent_to(&actions).map(|server| (id, server)));
         }
         if round % 10 == 9 {
-            in_use.push(out.iter().map(|(_, s)| *s).collect::<std::collections::BTreeSet<_>>().len());
+            let servers: std::collections::BTreeSet<_> =
+                in_flight.iter().map(|(_, server)| *server).collect();
+            in_use.push(servers.len());
         }
-        for (id, server) in out {
-            // A fixed sequence without a pattern that servers could fall in step with.
-            ends = ends.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let status = if (ends >> 33).is_multiple_of(bad) { Status::Error } else { Status::Ok };
-            let (mut attempt, mut next) = (0, sent(&rig.outcome(id, 0, server, status)));
-            while let Some(server) = next {
+        for (id, server) in in_flight {
+            // A linear congruential generator: a fixed sequence without a pattern that the servers could follow.
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let status =
+                if (random >> 33).is_multiple_of(outcomes_per_error) { Status::Error } else { Status::Ok };
+            let (mut attempt, mut retried_on) = (0, sent_to(&driver.end_attempt(id, 0, server, status)));
+            while let Some(server) = retried_on {
                 attempt += 1;
-                next = sent(&rig.outcome(id, attempt, server, Status::Ok));
+                retried_on = sent_to(&driver.end_attempt(id, attempt, server, Status::Ok));
             }
         }
     }
@@ -119,70 +126,79 @@
 }
 
 #[test]
-fn errors_that_come_alike_at_all_servers_take_out_few() {
-    for bad in [10, 12] {
-        let in_use = in_use_while_errors_come_alike_at_all(bad);
+fn uniform_errors_eject_few_servers() {
+    for outcomes_per_error in [10, 12] {
+        let in_use = servers_in_use_with_uniform_errors(outcomes_per_error);
         let mean = in_use.iter().sum::<usize>() as f64 / in_use.len() as f64;
-        assert!(mean >= 9.0, "one in {bad}: {in_use:?}");
+        assert!(mean >= 9.0, "one error in {outcomes_per_error}: servers in use {in_use:?}");
     }
 }
 
 #[test]
-fn a_server_that_turns_one_class_away_is_left_by_that_class_and_kept_by_the_other() {
+fn server_that_rejects_one_class_is_kept_for_the_other() {
     let classes = vec![class(Effect::Safe), class(Effect::Fragile)];
-    let mut rig = Rig::new(Settings { classes, ..settings() }, &[entry(1, 0), entry(2, 0)]);
-    // Known as the quicker one.
+    let mut driver = Driver::new(Settings { classes, ..settings() }, &[entry(1, 0), entry(2, 0)]);
+    // Answers before any rejection give the gateway the servers' service times.
     for k in 0..50 {
-        rig.play(1_000 + k, |_| Status::Ok);
+        driver.run_request(1_000 + k, |_| Status::Ok);
     }
-    let (mut full, mut reads) = (0, 0);
+    let (mut rejections, mut class_0_on_server_1) = (0, 0);
     for k in 0..200 {
-        rig.run_to(rig.now + 20 * MS);
-        let (report, actions) = rig.request(1, 500 + k, 2 * S);
-        let to = sent(&actions).expect("sent");
-        let turned = to == ServerId(1);
-        full += usize::from(turned);
-        let again = sent(&rig.outcome(report, 0, to, if turned { Status::Rejected } else { Status::Ok }));
-        if let Some(again) = again {
-            assert_eq!(again, ServerId(2));
-            rig.outcome(report, 1, again, Status::Ok);
+        driver.advance_to(driver.now + 20 * MS);
+        let (id, actions) = driver.request(1, 500 + k, 2 * S);
+        let server = sent_to(&actions).expect("the request is sent");
+        let is_rejected = server == ServerId(1);
+        rejections += usize::from(is_rejected);
+        let status = if is_rejected { Status::Rejected } else { Status::Ok };
+        if let Some(retried_on) = sent_to(&driver.end_attempt(id, 0, server, status)) {
+            assert_eq!(retried_on, ServerId(2));
+            driver.end_attempt(id, 1, retried_on, Status::Ok);
         }
-        let tried = rig.play(100 + k, |_| Status::Ok);
-        reads += usize::from(tried == [ServerId(1)]);
+        let servers = driver.run_request(100 + k, |_| Status::Ok);
+        class_0_on_server_1 += usize::from(servers == [ServerId(1)]);
     }
-    assert!((1..=10).contains(&full), "{full} reports went to the server that takes none");
-    assert!(reads >= 150, "{reads} of 200 reads went there");
+    assert!(
+        (1..=10).contains(&rejections),
+        "{rejections} requests of class 1 sent to the server that rejects them"
+    );
+    assert!(
+        class_0_on_server_1 >= 150,
+        "{class_0_on_server_1} of 200 requests of class 0 sent to that server"
+    );
 }
 
-/// Sends to each of two cold servers, none else being there, in each second of their first ten: forty requests a
-/// second of a gateway that has sent nothing before.
-fn sends_to_a_cold_fleet(start: Micros) -> Vec<[usize; 2]> {
-    let mut rig = Rig::new(Settings { gateways: 1, ..settings() }, &[]);
-    rig.run_to(100 * S);
-    let cold = |k| Entry { ready_at: start, ..entry(k, 0) };
-    rig.event(Event::Servers { kind: ListKind::Full, entries: vec![cold(1), cold(2)] });
-    let mut sends = vec![[0; 2]; 12];
+/// Sends 40 requests per second for 12 s through a gateway that has sent none before. The list has two
+/// servers only, both cold and with the ready time `ready_at`. Returns the attempts at each server in each
+/// second.
+fn attempts_at_cold_fleet(ready_at: Micros) -> Vec<[usize; 2]> {
+    let mut driver = Driver::new(Settings { gateways: 1, ..settings() }, &[]);
+    driver.advance_to(100 * S);
+    let cold = |k| Entry { ready_at, ..entry(k, 0) };
+    driver.handle(Event::Servers { kind: ListKind::Full, entries: vec![cold(1), cold(2)] });
+    let mut attempts = vec![[0; 2]; 12];
     for k in 0..480 {
-        rig.run_to(100 * S + k * 25 * MS);
-        for ServerId(server) in rig.play(1_000 + k, |_| Status::Ok) {
-            sends[k as usize / 40][server as usize - 1] += 1;
+        driver.advance_to(100 * S + k * 25 * MS);
+        for ServerId(server) in driver.run_request(1_000 + k, |_| Status::Ok) {
+            attempts[k as usize / 40][server as usize - 1] += 1;
         }
     }
-    sends
+    attempts
 }
 
 #[test]
-fn a_fleet_that_comes_back_cold_together_gets_work_at_once_and_not_too_much() {
-    let sends = sends_to_a_cold_fleet(100 * S);
-    for (second, got) in sends.iter().enumerate().take(9) {
-        assert!(got[0] + got[1] > 0, "nothing in second {second}: {sends:?}");
-        // One that answers in 30 ms does some 33 a second; three times what it does while cold pushes it over.
-        let ramp = 0.2 + 0.8 * (second as f64 + 1.0) / 10.0;
-        assert!(got.iter().all(|n| (*n as f64) < 3.0 * 33.0 * ramp), "second {second}: {sends:?}");
+fn cold_fleet_gets_requests_at_once_but_not_too_many() {
+    let attempts = attempts_at_cold_fleet(100 * S);
+    for (second, by_server) in attempts.iter().enumerate().take(9) {
+        assert!(by_server[0] + by_server[1] > 0, "no attempts in second {second}: {attempts:?}");
+        // A warm server that answers in 30 ms serves some 33 requests per second. A cold one collapses when
+        // sent three times what it can serve.
+        let capacity = 0.2 + 0.8 * (second as f64 + 1.0) / 10.0;
+        let no_collapse = by_server.iter().all(|count| (*count as f64) < 3.0 * 33.0 * capacity);
+        assert!(no_collapse, "too many attempts in second {second}: {attempts:?}");
     }
 }
 
 #[test]
-fn a_start_in_the_time_to_come_counts_from_when_it_was_told() {
-    assert_eq!(sends_to_a_cold_fleet(Micros::MAX), sends_to_a_cold_fleet(100 * S));
+fn future_ready_time_counts_as_the_time_of_the_update() {
+    assert_eq!(attempts_at_cold_fleet(Micros::MAX), attempts_at_cold_fleet(100 * S));
 }
