--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -138,7 +138,7 @@
 fn server_that_rejects_one_class_is_kept_for_the_other() {
     let classes = vec![class(Effect::Safe), class(Effect::Fragile)];
     let mut driver = Driver::new(Settings { classes, ..settings() }, &[entry(1, 0), entry(2, 0)]);
-    // Answers before any rejection give the gateway the servers' service times.
+    // These 50 requests all go to server 1, and after their answers the gateway prefers it.
     for k in 0..50 {
         driver.run_request(1_000 + k, |_| Status::Ok);
     }
