--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -42,13 +42,13 @@
     Snapshot(#[from] SnapshotError),
     /// The consensus library rejects the configuration.
     #[error("accord.keepers: {0}")]
-    Cluster(String),
+    InvalidClusterConfig(String),
     /// The consensus library found its own state impossible.
     #[error("the consensus found its own state impossible")]
     ConsensusPanicked,
     /// A fleet is bootstrapped with a number of voters that is not allowed.
     #[error("accord.keepers: {0} are named, 3, 5 or 7 may be")]
-    VoterCount(usize),
+    InvalidVoterCount(usize),
     /// A fleet is bootstrapped with invalid rules.
     #[error(transparent)]
     InvalidRules(#[from] FieldErrors),
@@ -64,8 +64,9 @@
     pub leases_granted: u64,
     /// Requests answered without one.
     pub leases_withheld: u64,
-    /// Messages of no use here: of another configuration, out of place, from a sender that does not vote.
-    pub unrecognized: u64,
+    /// Messages that were ignored: of a kind that replicas don't handle, with an invalid content, from a sender that is
+    /// not a voter, or proposals beyond the limit of pending ones. Ignored permit reports in lease requests count too.
+    pub ignored_messages: u64,
     /// Syncs of the storage.
     pub syncs: u64,
 }
@@ -113,7 +114,7 @@
         seed: u64,
     ) -> Result<S, ReplicaError> {
         if !is_valid_voter_count(voters.len()) {
-            return Err(ReplicaError::VoterCount(voters.len()));
+            return Err(ReplicaError::InvalidVoterCount(voters.len()));
         }
         let machine = StateMachine::bootstrap(voters.clone(), rules, canary_percent, seed)?;
         let mut storage = LogStorage::open(storage)?;
@@ -172,8 +173,8 @@
         self.state_machine.as_ref()
     }
 
-    /// The number of the configuration it is in, from 1; 0: none.
-    pub fn configuration(&self) -> u32 {
+    /// The number of the configuration that this replica is in, from 1; 0 if its storage holds none.
+    pub fn configuration_number(&self) -> u32 {
         self.membership.configuration
     }
 
@@ -218,7 +219,9 @@
                 let position = LogPosition::from_wire(log_position);
                 self.handle_paxos(from, configuration, sequence, position, *message)?;
             }
-            Message::Behind { configuration } if configuration < self.membership.configuration => {
+            Message::OutdatedConfiguration { configuration }
+                if configuration < self.membership.configuration =>
+            {
                 self.send_configuration(from);
             }
             Message::Install(configuration) => return self.install_configuration(now, *configuration),
@@ -229,7 +232,7 @@
             Message::ChangeVoters { voters } if is_valid_voter_count(voters.len()) => {
                 self.membership.request_voters(voters);
             }
-            _ => self.stats.unrecognized += 1,
+            _ => self.stats.ignored_messages += 1,
         }
         self.settle(now)
     }
@@ -288,20 +291,20 @@
             return Ok(());
         }
         if self.membership.is_stranger(from) {
-            self.stats.unrecognized += 1;
+            self.stats.ignored_messages += 1;
             return Ok(());
         }
         if !self.sequences.accept(from, sequence, self.ticks) {
             return Ok(());
         }
         if configuration > self.membership.configuration {
-            let behind = Message::Behind { configuration: self.membership.configuration };
+            let behind = Message::OutdatedConfiguration { configuration: self.membership.configuration };
             self.outbox.push((from, behind));
             return Ok(());
         }
         let Some(voter) = &mut self.voter else { return Ok(()) };
         if !voter.receive(from, sender_position, message, self.ticks)? {
-            self.stats.unrecognized += 1;
+            self.stats.ignored_messages += 1;
         }
         Ok(())
     }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -5,7 +5,7 @@
 //! lease is one, an answer may be a step on its way.
 
 use frostgauge_consensus::{
-    Class, Entry, Plan, Proposal, Rules, Server, ServerState as Ready, StateMachine, Tenant, FORMAT,
+    Class, Entry, Plan, Proposal, Rules, Server, ServerState as Ready, StateMachine, Tenant, RULES_FORMAT,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeSet, HashMap};
@@ -101,7 +101,7 @@
     let class = Class { cost_milli: 1, repeatable: true, on_fallback: true };
     let tenant = Tenant { plan: "plan".into(), classes: ["read".to_owned()].into(), floor_milli: 1 };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), class)].into(),
         plans: [("plan".into(), Plan { rate_milli, ceiling_milli: None })].into(),
         tenants: [("sul".into(), tenant)].into(),
@@ -145,9 +145,9 @@
         }
         let mut conflicts = [false; 8];
         for set in [0b010u8, 0b100, 0b110] {
-            conflicts[usize::from(set)] = machine.conflicts(4, &numbers(set), 2);
+            conflicts[usize::from(set)] = machine.lease_conflicts(4, &numbers(set), 2);
         }
-        let binds = machine.binding_versions_of_others().into_iter().fold(0, |set, n| set | 1 << n);
+        let binds = machine.binding_versions_of_non_canaries().into_iter().fold(0, |set, n| set | 1 << n);
         let says = Says { binds, next: machine.next_version() == Some(2), conflicts };
         known.insert(log.to_vec(), says);
         says
--- a/crates/consensus/tests/ruleset.rs
+++ b/crates/consensus/tests/ruleset.rs
@@ -1,9 +1,9 @@
 //! What contradicts what, what ground is, and what may follow, over drawn rules.
 
-use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS};
+use frostgauge_connection_budget::{Budget, Policy, MAX_CONNECTIONS_PER_SERVER};
 use frostgauge_consensus::{
     changed_paths, fallback_violations, find_conflicts, Class, Entry, Outcome, Plan, Proposal, Rules, Server,
-    ServerState, StateMachine, Tenant, TimingSettings, Version, VersionError, FORMAT,
+    ServerState, StateMachine, Tenant, TimingSettings, Version, VersionError, RULES_FORMAT,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
             Some((format!("s{k}"), Server { address: format!("10.0.0.{}:80", k + 1), state, zone: String::new() }))
         });
         Rules {
-            format: FORMAT,
+            format: RULES_FORMAT,
             classes,
             plans: [("plan".into(), plan)].into(),
             tenants: [("sul".into(), Tenant { plan: "plan".into(), classes: may, floor_milli: floor })].into(),
@@ -45,7 +45,7 @@
 
 /// None, one that binds nobody, one that binds.
 fn budgets(which: u8, servers: usize) -> Policy {
-    let connections = [0, MAX_CONNECTIONS, 10][usize::from(which)];
+    let connections = [0, MAX_CONNECTIONS_PER_SERVER, 10][usize::from(which)];
     let (idle_ms, attempt_ms, turn_ms) = (1_000, 1_000, 1_000);
     let budget = Budget { zone: None, connections, idle_ms, attempt_ms, rotation_ms: turn_ms };
     let some = (which > 0 && servers > 0).then(|| ("all".to_owned(), budget));
@@ -132,7 +132,7 @@
 fn some() -> Rules {
     let class = |cost_milli| Class { cost_milli, repeatable: true, on_fallback: true };
     Rules {
-        format: FORMAT,
+        format: RULES_FORMAT,
         classes: [("read".into(), class(1_000))].into(),
         plans: [("plan".into(), Plan { rate_milli: 9_000, ceiling_milli: None })].into(),
         tenants: [(
--- a/crates/simhost/src/actions.rs
+++ b/crates/simhost/src/actions.rs
@@ -33,7 +33,7 @@
         Action::SendToPeer { to, data } => {
             json!(["publish", instance_number, to, BASE64_STANDARD.encode(data)])
         }
-        Action::Watch => json!(["watch", instance_number, true]),
+        Action::SubscribeToServers => json!(["watch", instance_number, true]),
         Action::AddToCounter { counter, amount, ttl } => {
             json!(["bump", instance_number, format!("{:x}", counter.0), amount, ttl])
         }
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -4,7 +4,9 @@
 use crate::fields::Fields;
 use crate::instance::{fnv1a_hash, Instance};
 use base64::{prelude::BASE64_STANDARD, Engine};
-use frostgauge::{CounterId, CustomerId, Entry, Event, ListKind, Load, ServerId, State, Status, TimerId};
+use frostgauge::{
+    CounterId, CustomerId, Event, ListKind, Load, ServerEntry, ServerId, ServerState, Status, TimerId,
+};
 use serde_json::Value;
 
 /// Bit in a request's `flags` by which the client marks it as a retry.
@@ -19,9 +21,9 @@
     let event = match name {
         "targets" => parse_server_list(instance, fields)?,
         "demand" => parse_request(instance, fields)?,
-        "established" => Event::Started { id: instance.known_request_id(fields.text(0, "call")?)? },
+        "established" => Event::AnswerStarted { id: instance.known_request_id(fields.text(0, "call")?)? },
         "finished" => parse_outcome(instance, fields)?,
-        "gone" => Event::ClientGone { id: instance.request_id(fields.text(0, "call")?) },
+        "gone" => Event::ClientDisconnected { id: instance.request_id(fields.text(0, "call")?) },
         "due" => parse_timer(fields)?,
         "checkResult" => Event::ProbeResult {
             server: parse_server(instance, fields, 1)?,
@@ -48,14 +50,14 @@
     Ok(Event::Servers { kind, entries })
 }
 
-fn parse_entry(instance: &mut Instance, row: &Value) -> Result<Entry, FieldError> {
+fn parse_entry(instance: &mut Instance, row: &Value) -> Result<ServerEntry, FieldError> {
     let row = Fields(row.as_array().ok_or(FieldError("records"))?);
-    Ok(Entry {
+    Ok(ServerEntry {
         cell: row.integer(0, "pod")? as u32,
         state: match row.integer(1, "readiness")? {
-            0 => State::Gone,
-            1 => State::Ready,
-            2 => State::Draining,
+            0 => ServerState::Removed,
+            1 => ServerState::Ready,
+            2 => ServerState::Draining,
             _ => return Err(FieldError("readiness")),
         },
         ready_at: row.integer(2, "readyAtUs")?,
@@ -82,13 +84,13 @@
 }
 
 fn parse_outcome(instance: &mut Instance, fields: Fields) -> Result<Event, FieldError> {
-    Ok(Event::Outcome {
+    Ok(Event::AttemptEnded {
         id: instance.request_id(fields.text(0, "call")?),
         attempt: fields.integer(1, "hop")? as u32,
         server: parse_server(instance, fields, 2)?,
         status: parse_status(fields, 3)?,
         elapsed: fields.integer(4, "costTimeUs")?,
-        closed: fields.boolean(5),
+        request_finished: fields.boolean(5),
         usage: parse_usage(fields.integer(6, "usage")?),
         settled_units: fields.get(7).and_then(Value::as_f64).filter(|units| *units > 0.0),
         load: parse_load(instance, fields.get(8)),
@@ -118,7 +120,7 @@
     Ok(Event::CounterReply {
         counter: CounterId(counter.map_err(|_| FieldError("entryName"))?),
         total: if status == "OK" { Some(fields.number(2, "total")?) } else { None },
-        unsure: status == "DEADLINE_EXCEEDED",
+        may_have_added: status == "DEADLINE_EXCEEDED",
         elapsed: fields.integer(3, "costTimeUs")?,
     })
 }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -122,8 +122,8 @@
     /// `internalError` with the panic's message is appended too.
     pub fn handle_event(&mut self, now: Micros, instance_number: u64, event: Event, out: &mut Vec<Value>) {
         let (ended_attempt, finished_request) = match &event {
-            Event::Outcome { id, closed, .. } => (Some(*id), closed.then_some(*id)),
-            Event::ClientGone { id } => (None, Some(*id)),
+            Event::AttemptEnded { id, request_finished, .. } => (Some(*id), request_finished.then_some(*id)),
+            Event::ClientDisconnected { id } => (None, Some(*id)),
             _ => (None, None),
         };
         let mut actions: Vec<Action> = Vec::new();
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -15,7 +15,7 @@
     let answers: Vec<_> = actions.iter().filter(|(_, action)| is_answer(action)).collect();
     assert_eq!(answers.len(), 1);
     let answered_at = answers[0].0;
-    assert!(answered_at <= S + 300 * MS && answered_at >= S + 280 * MS);
+    assert!((S + 280 * MS..=S + 300 * MS).contains(&answered_at), "answered at {answered_at} µs");
     assert!(actions.contains(&(answered_at, Action::Cancel { id, attempt: 0 })));
     let late = driver.end_attempt(id, 0, ServerId(1), Status::Cancelled);
     assert!(late.is_empty(), "actions after the final answer: {late:?}");
@@ -32,7 +32,7 @@
 fn no_action_follows_a_client_disconnect() {
     let mut driver = Driver::new(settings(), &[entry(1, 0)]);
     let (id, _) = driver.request(0, 5, 300 * MS);
-    driver.handle(Event::ClientGone { id });
+    driver.handle(Event::ClientDisconnected { id });
     let actions = driver.advance_to(3 * S);
     assert!(actions.is_empty(), "{actions:?}");
     assert!(driver.end_attempt(id, 0, ServerId(1), Status::Error).is_empty());
@@ -44,7 +44,7 @@
     settings.classes[0].stream = true;
     let mut driver = Driver::new(settings, &[entry(1, 0)]);
     let (id, _) = driver.request(0, 5, 300 * MS);
-    driver.handle(Event::Started { id });
+    driver.handle(Event::AnswerStarted { id });
     assert!(driver.advance_to(3 * S).is_empty());
 }
 
@@ -53,7 +53,7 @@
     let mut driver = Driver::new(settings(), &[entry(1, 0)]);
     let unknown_id = RequestId(99);
     assert!(driver.end_attempt(unknown_id, 7, ServerId(1), Status::Ok).is_empty());
-    assert!(driver.handle(Event::ClientGone { id: unknown_id }).is_empty());
+    assert!(driver.handle(Event::ClientDisconnected { id: unknown_id }).is_empty());
     assert!(driver.handle(Event::Timer { timer: TimerId(12345) }).is_empty());
     let load =
         Load { inflight: Some(f64::NAN), queue: Some(-1e300), util: None, latency_ms: Some(f64::INFINITY) };
@@ -97,7 +97,7 @@
     assert_eq!(invalid_field(|s| s.gateway_id = 2).as_deref(), Some("me"));
     assert_eq!(invalid_field(|s| s.tick = 0).as_deref(), Some("tick"));
     assert_eq!(
-        invalid_field(|s| s.rules.collapse_multiple = f64::INFINITY).as_deref(),
+        invalid_field(|s| s.backend_limits.collapse_multiple = f64::INFINITY).as_deref(),
         Some("rules.fall_multiple")
     );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Settings of gateway 0 of two, with one safe class and one plan. Probes, peer messages, usage reports and
+/// Settings of gateway 0 of two, with one idempotent class and one plan. Probes, peer messages, usage reports and
 /// the shared counter are off, so the server list is the only source of information.
 pub fn settings() -> Settings {
     Settings {
@@ -43,7 +43,7 @@
         gateways: 2,
         zone: 0,
         tick: 2 * MS,
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Effect::Idempotent)],
         plans: vec![plan()],
         capabilities: Capabilities {
             cancel: true,
@@ -53,7 +53,7 @@
             peer_messages_per_s: 40.0,
             ..Capabilities::default()
         },
-        rules: Rules {
+        backend_limits: BackendLimits {
             answer_slack: 8 * MS,
             slow_start_share: 0.2,
             slow_start_time: 10 * S,
@@ -64,8 +64,15 @@
 }
 
 /// A ready server that finished its slow start long ago.
-pub fn entry(server: u64, zone: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ready_at: 0, size: 1.0, zone, cell: zone }
+pub fn entry(server: u64, zone: u32) -> ServerEntry {
+    ServerEntry {
+        server: ServerId(server),
+        state: ServerState::Ready,
+        ready_at: 0,
+        size: 1.0,
+        zone,
+        cell: zone,
+    }
 }
 
 /// Drives one gateway: keeps its clock, its pending timers and the ids of its requests.
@@ -80,7 +87,7 @@
 
 impl Driver {
     /// Starts a gateway at 1 s and lists the given servers.
-    pub fn new(settings: Settings, servers: &[Entry]) -> Driver {
+    pub fn new(settings: Settings, servers: &[ServerEntry]) -> Driver {
         let gateway = Gateway::new(settings, 11, S).expect("valid settings");
         let mut driver = Driver { gateway, now: S, timers: Vec::new(), last_request_id: 0 };
         driver.handle(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
@@ -162,13 +169,13 @@
         status: Status,
         elapsed: Micros,
     ) -> Vec<Action> {
-        self.handle(Event::Outcome {
+        self.handle(Event::AttemptEnded {
             id,
             attempt,
             server,
             status,
             elapsed,
-            closed: status == Status::Ok,
+            request_finished: status == Status::Ok,
             usage: None,
             settled_units: None,
             load: None,
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -26,7 +26,7 @@
 /// Replies to a counter call after 2 ms, without an answer if `total` is `None`; returns the actions.
 fn reply(driver: &mut Driver, counter: CounterId, total: Option<f64>) -> Vec<Action> {
     driver.now += 2 * MS;
-    driver.handle(Event::CounterReply { counter, total, unsure: total.is_none(), elapsed: 2 * MS })
+    driver.handle(Event::CounterReply { counter, total, may_have_added: total.is_none(), elapsed: 2 * MS })
 }
 
 /// The customer's total at the counter while its bucket is full: the rate of 2 units per second times the clock.
@@ -113,7 +113,12 @@
         driver.end_attempt(id, 0, server, Status::Ok);
         if let Some((counter, _)) = call {
             calls += 1;
-            driver.handle(Event::CounterReply { counter, total: None, unsure: true, elapsed: 80 * MS });
+            driver.handle(Event::CounterReply {
+                counter,
+                total: None,
+                may_have_added: true,
+                elapsed: 80 * MS,
+            });
         }
     }
     assert!((5..=40).contains(&calls), "{calls}");
@@ -255,7 +260,7 @@
     let (_, actions) = driver.request(0, 5, 2 * S);
     let (counter, _) = counter_call(&actions).expect("a counter call");
     let (_, amount) = counter_call(&reply(&mut driver, counter, Some(1.0))).expect("a correction");
-    driver.handle(Event::CounterReply { counter, total: None, unsure: false, elapsed: 2 * MS });
+    driver.handle(Event::CounterReply { counter, total: None, may_have_added: false, elapsed: 2 * MS });
     let later: Vec<_> =
         driver.advance_to(driver.now + 300 * MS).into_iter().map(|(_, action)| action).collect();
     let (_, second_amount) = counter_call(&later).expect("another call");
--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -5,7 +5,7 @@
 use frostgauge::*;
 
 /// The servers of a zone deduplicate the request for 500 ms.
-const KEYED_BY_ZONE: Effect = Effect::Keyed { group: Group::Zone, window: 500 * MS };
+const DEDUPLICATED_BY_ZONE: Effect = Effect::Deduplicated { scope: DedupScope::Zone, window: 500 * MS };
 
 /// Sends a request of a class with this effect to four servers, the odd ones in zone 0 and the even ones in
 /// zone 1; returns its id and the server of its first attempt.
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn fragile_request_that_may_have_run_is_not_retried() {
+fn non_idempotent_request_that_may_have_run_fails() {
     for status in [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled] {
-        let (mut driver, id, server) = send_first_attempt(Effect::Fragile);
+        let (mut driver, id, server) = send_first_attempt(Effect::NonIdempotent);
         let actions = driver.end_attempt(id, 0, server, status);
         assert!(
             is_failed(&actions) && sent_to(&actions).is_none() && !is_rejected(&actions),
@@ -31,32 +31,32 @@
 }
 
 #[test]
-fn fragile_request_that_did_not_run_is_retried_elsewhere() {
+fn non_idempotent_request_not_run_is_retried_elsewhere() {
     for status in [Status::Rejected, Status::ConnectFailed] {
-        let (mut driver, id, server) = send_first_attempt(Effect::Fragile);
+        let (mut driver, id, server) = send_first_attempt(Effect::NonIdempotent);
         let retried_on = sent_to(&driver.end_attempt(id, 0, server, status));
         assert!(retried_on.is_some_and(|retried_on| retried_on != server), "{status:?}");
     }
 }
 
 #[test]
-fn fragile_request_in_flight_at_its_deadline_fails() {
-    let (mut driver, id, _) = send_first_attempt(Effect::Fragile);
+fn non_idempotent_request_in_flight_at_its_deadline_fails() {
+    let (mut driver, id, _) = send_first_attempt(Effect::NonIdempotent);
     let actions = driver.advance_to(4 * S);
     assert!(actions.iter().any(|(_, action)| *action == Action::Fail { id }));
     assert!(!actions.iter().any(|(_, action)| matches!(action, Action::Reject { .. })));
 }
 
 #[test]
-fn safe_request_is_retried_on_another_server() {
-    let (mut driver, id, server) = send_first_attempt(Effect::Safe);
+fn idempotent_request_is_retried_on_another_server() {
+    let (mut driver, id, server) = send_first_attempt(Effect::Idempotent);
     let retried_on = sent_to(&driver.end_attempt(id, 0, server, Status::Error));
     assert!(retried_on.is_some_and(|retried_on| retried_on != server));
 }
 
 #[test]
-fn keyed_request_is_retried_within_its_group_only() {
-    let (mut driver, id, server) = send_first_attempt(KEYED_BY_ZONE);
+fn deduplicated_request_is_retried_within_its_group_only() {
+    let (mut driver, id, server) = send_first_attempt(DEDUPLICATED_BY_ZONE);
     let retried_on =
         sent_to(&driver.end_attempt(id, 0, server, Status::Error)).expect("the request is retried");
     assert_ne!(retried_on, server);
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn keyed_request_is_not_retried_after_its_window() {
-    let (mut driver, id, server) = send_first_attempt(KEYED_BY_ZONE);
+fn deduplicated_request_is_not_retried_after_its_window() {
+    let (mut driver, id, server) = send_first_attempt(DEDUPLICATED_BY_ZONE);
     driver.now += 501 * MS;
     let actions = driver.end_attempt(id, 0, server, Status::Error);
     assert!(is_failed(&actions) && sent_to(&actions).is_none());
@@ -73,14 +73,15 @@
 
 #[test]
 fn request_deduplicated_by_all_servers_may_be_rejected() {
-    let (mut driver, id, server) = send_first_attempt(Effect::Keyed { group: Group::All, window: 500 * MS });
+    let (mut driver, id, server) =
+        send_first_attempt(Effect::Deduplicated { scope: DedupScope::All, window: 500 * MS });
     driver.now += 501 * MS;
     assert!(is_rejected(&driver.end_attempt(id, 0, server, Status::Error)));
 }
 
 #[test]
 fn attempts_stop_at_the_maximum() {
-    let (mut driver, id, mut server) = send_first_attempt(Effect::Safe);
+    let (mut driver, id, mut server) = send_first_attempt(Effect::Idempotent);
     for attempt in 0..3 {
         server = sent_to(&driver.end_attempt(id, attempt, server, Status::Error))
             .expect("the maximum is not reached");
--- a/tests/few.rs
+++ b/tests/few.rs
@@ -10,7 +10,8 @@
 fn driver() -> Driver {
     let mut settings = settings();
     settings.gateways = 100;
-    settings.classes = vec![class(Effect::Safe), Class { priority_weight: 10.0, ..class(Effect::Fragile) }];
+    settings.classes =
+        vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     Driver::new(settings, &(0..60).map(|k| entry(k + 1, k as u32 % 3)).collect::<Vec<_>>())
 }
 
@@ -122,7 +123,7 @@
     let mostly_served = (0..2).all(|class| served[class] * 10 >= requests[class] * 9);
     assert!(mostly_served, "{served:?} of {requests:?} served during the outage");
     let start = driver.now;
-    let cold = |k: u64| Entry { ready_at: start, ..entry(k + 1, 1) };
+    let cold = |k: u64| ServerEntry { ready_at: start, ..entry(k + 1, 1) };
     let entries = (0..60).filter(|k| k % 3 == 1).map(cold).collect();
     driver.handle(Event::Servers { kind: ListKind::Delta, entries });
     let (requests, served, in_zone) = run_with_retries(&mut driver, 8, |_| Status::Ok);
@@ -146,7 +147,7 @@
             served[class] += newly_served[class];
         }
     }
-    // A safe request is retried elsewhere. One that must not run twice fails at a failing server that is not
+    // An idempotent request is retried elsewhere. One that must not run twice fails at a failing server that is not
     // yet known.
     assert!(
         served[0] * 100 >= requests[0] * 95 && served[1] * 100 >= requests[1] * 80,
@@ -160,7 +161,7 @@
 fn requests_end_once_without_peers_list_and_counter() {
     let mut settings = settings();
     settings.gateways = 100;
-    settings.classes = vec![class(Effect::Safe), class(Effect::Fragile)];
+    settings.classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent)];
     settings.capabilities = Capabilities {
         peers: true,
         shared_counter: true,
@@ -198,9 +199,9 @@
                 _ => {}
             }
         }
-        let is_fragile = k % 2 == 1;
+        let is_non_idempotent = k % 2 == 1;
         let sent = sends.iter().filter(|sent| **sent == id).count();
-        assert!(!is_fragile || sent <= 1, "a request that must not run twice was sent {sent} times");
+        assert!(!is_non_idempotent || sent <= 1, "a request that must not run twice was sent {sent} times");
     }
     let all_answered_once = final_answers.len() == 200 && final_answers.values().all(|count| *count == 1);
     assert!(
--- a/tests/legal_orders.rs
+++ b/tests/legal_orders.rs
@@ -20,7 +20,7 @@
     /// The client of an unanswered request disconnects.
     Disconnect { selector: usize },
     /// A list update reports the state of a server.
-    UpdateServer { server: u64, state: State },
+    UpdateServer { server: u64, state: ServerState },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -33,7 +33,12 @@
         Status::Reset,
         Status::Timeout,
     ]);
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    let state = prop::sample::select(vec![
+        ServerState::Ready,
+        ServerState::Ready,
+        ServerState::Draining,
+        ServerState::Removed,
+    ]);
     prop_oneof![
         3 => (1u64..120).prop_map(Step::Wait),
         6 => (0usize..4, 0u64..5, 20u64..2000)
@@ -64,7 +69,7 @@
     deadline: Micros,
     final_answers: usize,
     /// The request has its final answer, or its client disconnected.
-    closed: bool,
+    finished: bool,
     attempts: Vec<SentAttempt>,
 }
 
@@ -86,7 +91,7 @@
         match action {
             Action::Send { id, server, .. } => {
                 let request = self.requests.get_mut(id).expect("a known request");
-                let is_open = !request.closed && request.final_answers == 0;
+                let is_open = !request.finished && request.final_answers == 0;
                 assert!(is_open, "sent after its final answer or after its client disconnected");
                 assert!(at <= request.deadline, "sent after its deadline");
                 assert_eq!(self.is_ready.get(server), Some(&true), "sent to a server that is not ready");
@@ -97,15 +102,15 @@
                     |attempt: &&SentAttempt| attempt.status.is_some_and(|status| !NOT_RUN.contains(&status));
                 if let Some(ran) = request.attempts.iter().find(may_have_run) {
                     match request.class {
-                        1 => panic!("a fragile request was retried after it may have run"),
+                        1 => panic!("a non-idempotent request was retried after it may have run"),
                         2 => {
                             assert!(
                                 zone(ran.server) == zone(*server),
-                                "a keyed request was retried in another zone"
+                                "a deduplicated request was retried in another zone"
                             );
                             assert!(
                                 at < ran.sent_at + 500 * MS,
-                                "a keyed request was retried after its window"
+                                "a deduplicated request was retried after its window"
                             );
                         }
                         _ => {}
@@ -118,7 +123,7 @@
             }
             Action::Reject { id, .. } | Action::Fail { id } => {
                 let request = self.requests.get_mut(id).expect("a known request");
-                assert!(!request.closed, "a second final answer, or one after the client disconnected");
+                assert!(!request.finished, "a second final answer, or one after the client disconnected");
                 if matches!(action, Action::Reject { .. }) && (request.class == 1 || request.class == 2) {
                     let did_not_run = |attempt: &SentAttempt| {
                         attempt.status.is_some_and(|status| NOT_RUN.contains(&status))
@@ -127,7 +132,7 @@
                 }
                 assert!(at <= request.deadline, "answered after its deadline");
                 request.final_answers += 1;
-                request.closed = true;
+                request.finished = true;
             }
             _ => {}
         }
@@ -153,13 +158,17 @@
     }
 }
 
-/// Runs the steps against a gateway with a safe, a fragile and two keyed classes, then lets 5 s pass, in
+/// Runs the steps against a gateway with an idempotent, a non-idempotent and two deduplicated classes, then lets 5 s pass, in
 /// which each request left must get its final answer.
 fn run(steps: Vec<Step>) {
     let mut settings = settings();
-    let keyed = |group| class(Effect::Keyed { group, window: 500 * MS });
-    settings.classes =
-        vec![class(Effect::Safe), class(Effect::Fragile), keyed(Group::Zone), keyed(Group::All)];
+    let deduplicated = |scope| class(Effect::Deduplicated { scope, window: 500 * MS });
+    settings.classes = vec![
+        class(Effect::Idempotent),
+        class(Effect::NonIdempotent),
+        deduplicated(DedupScope::Zone),
+        deduplicated(DedupScope::All),
+    ];
     settings.plans[0] =
         Plan { ceiling_rate: 6.0, ceiling_burst: 8.0, ceiling_slack: 2.0, rate: 5.0, burst: 8.0, ..plan() };
     let servers: Vec<_> = (1..5).map(|k| entry(k, (k % 2) as u32)).collect();
@@ -181,7 +190,7 @@
                     customer,
                     deadline,
                     final_answers: 0,
-                    closed: false,
+                    finished: false,
                     attempts: vec![],
                 };
                 checker.requests.insert(id, request);
@@ -216,15 +225,15 @@
                 let attempt = &mut request.attempts[number];
                 attempt.status = Some(status);
                 let (server, elapsed) = (attempt.server, checker.driver.now - attempt.sent_at);
-                request.closed |= status == Status::Ok;
-                let closed = request.closed;
-                checker.handle(Event::Outcome {
+                request.finished |= status == Status::Ok;
+                let request_finished = request.finished;
+                checker.handle(Event::AttemptEnded {
                     id,
                     attempt: number as u32,
                     server,
                     status,
                     elapsed,
-                    closed,
+                    request_finished,
                     usage: None,
                     settled_units: None,
                     load: None,
@@ -234,26 +243,29 @@
                 let open: Vec<_> = checker
                     .requests
                     .iter()
-                    .filter(|(_, request)| !request.closed)
+                    .filter(|(_, request)| !request.finished)
                     .map(|(id, _)| *id)
                     .collect();
                 if open.is_empty() {
                     continue;
                 }
                 let id = open[selector % open.len()];
-                checker.requests.get_mut(&id).expect("just listed").closed = true;
-                checker.handle(Event::ClientGone { id });
+                checker.requests.get_mut(&id).expect("just listed").finished = true;
+                checker.handle(Event::ClientDisconnected { id });
             }
             Step::UpdateServer { server, state } => {
-                let entry = Entry { state, ..entry(server, (server % 2) as u32) };
-                checker.is_ready.insert(entry.server, state == State::Ready);
+                let entry = ServerEntry { state, ..entry(server, (server % 2) as u32) };
+                checker.is_ready.insert(entry.server, state == ServerState::Ready);
                 checker.handle(Event::Servers { kind: ListKind::Delta, entries: vec![entry] });
             }
         }
     }
     checker.advance_to(checker.driver.now + 5 * S);
     for (id, request) in &checker.requests {
-        assert!(request.closed && request.final_answers <= 1, "{id:?} has no final answer, or more than one");
+        assert!(
+            request.finished && request.final_answers <= 1,
+            "{id:?} has no final answer, or more than one"
+        );
     }
 }
 
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -56,13 +56,13 @@
 /// a multiple of its quota, and an idle server.
 fn end_as_served(gateway: &mut Gateway, now: Micros, id: u64, server: ServerId, usage: f64) {
     let (status, elapsed) = (Status::Ok, 50 * MS);
-    let outcome = Event::Outcome {
+    let outcome = Event::AttemptEnded {
         id: RequestId(id),
         attempt: 0,
         server,
         status,
         elapsed,
-        closed: true,
+        request_finished: true,
         usage: Some(usage),
         settled_units: None,
         load: Some(Load { inflight: Some(0.0), ..Load::default() }),
@@ -159,7 +159,7 @@
     let seed = |index: usize| 31 * index as u64 + 7;
     let mut gateways: Vec<Gateway> =
         (0..count).map(|index| gateway(metered_settings(), index, count, seed(index))).collect();
-    let cold = Entry { ready_at: 3 * S, ..entry(20, 0) };
+    let cold = ServerEntry { ready_at: 3 * S, ..entry(20, 0) };
     let (mut sent_to_cold, mut sent) = (0, 0);
     for (index, this_gateway) in gateways.iter_mut().enumerate() {
         for k in 0..12 {
@@ -206,11 +206,17 @@
 /// Maximum of requests that a cold server may be sent within the collapse time that ends `uptime` µs after
 /// its start, where a warm server takes `warm_rate` requests per second: the limit at which it collapses,
 /// with a margin of two or three times the square root of that for chance.
-fn max_sent_to_cold(rules: &Rules, uptime: Micros, warm_rate: f64) -> f64 {
-    let progress = uptime as f64 / rules.slow_start_time as f64;
-    let capacity = rules.slow_start_share + (1.0 - rules.slow_start_share) * progress;
-    let limit = rules.collapse_multiple * capacity * warm_rate * rules.collapse_time as f64 / S as f64;
-    limit + if limit < 30.0 { 3.0 * limit.sqrt() + 3.0 } else { 2.0 * limit.sqrt() + 2.0 }
+fn max_sent_to_cold(limits: &BackendLimits, uptime: Micros, warm_rate: f64) -> f64 {
+    let progress = uptime as f64 / limits.slow_start_time as f64;
+    let capacity = limits.slow_start_share + (1.0 - limits.slow_start_share) * progress;
+    let collapse_limit =
+        limits.collapse_multiple * capacity * warm_rate * limits.collapse_time as f64 / S as f64;
+    let margin = if collapse_limit < 30.0 {
+        3.0 * collapse_limit.sqrt() + 3.0
+    } else {
+        2.0 * collapse_limit.sqrt() + 2.0
+    };
+    collapse_limit + margin
 }
 
 /// A server restarts twice under a new id while the gateways restart too: each incarnation of the server must
@@ -220,7 +226,7 @@
     const GATEWAYS: usize = 25;
     /// Time between two requests at a gateway, µs.
     const STEP: Micros = 100 * MS;
-    let rules = settings().rules;
+    let limits = settings().backend_limits;
     // Ids of the server, and when it became ready under each.
     let incarnations = [(20, 3 * S), (21, 4 * S), (22, 5 * S)];
     let start =
@@ -236,8 +242,12 @@
                 *gateway = start(index, 2 + step);
             }
             let list_entry = |(server, ready_at): &(u64, Micros)| {
-                let state = if now < ready_at + S || *server == 22 { State::Ready } else { State::Gone };
-                Entry { ready_at: *ready_at, state, ..entry(*server, 0) }
+                let state = if now < ready_at + S || *server == 22 {
+                    ServerState::Ready
+                } else {
+                    ServerState::Removed
+                };
+                ServerEntry { ready_at: *ready_at, state, ..entry(*server, 0) }
             };
             let started = incarnations.iter().filter(|(_, ready_at)| now >= *ready_at);
             let entries = started.map(list_entry).collect();
@@ -257,9 +267,9 @@
     for ((server, ready_at), sent_at) in incarnations.iter().zip(&sent_at) {
         assert!(!sent_at.is_empty(), "nothing sent to server {server}");
         for from in sent_at {
-            let until = from + rules.collapse_time;
+            let until = from + limits.collapse_time;
             let sent = sent_at.iter().filter(|at| (*from..until).contains(at)).count();
-            let max_sent = max_sent_to_cold(&rules, until - ready_at, warm_rate);
+            let max_sent = max_sent_to_cold(&limits, until - ready_at, warm_rate);
             assert!(
                 sent as f64 <= max_sent,
                 "{sent} sent to server {server} from {from} to {until} µs, at most {max_sent} allowed"
@@ -367,13 +377,13 @@
             if *answer_at > now {
                 return true;
             }
-            let outcome = Event::Outcome {
+            let outcome = Event::AttemptEnded {
                 id: RequestId(*id),
                 attempt: 0,
                 server: *server,
                 status: Status::Ok,
                 elapsed: 900 * MS,
-                closed: true,
+                request_finished: true,
                 usage: None,
                 settled_units: None,
                 load: None,
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -85,13 +85,13 @@
         actions.extend(driver.advance_to(driver.now + 95 * MS).into_iter().map(|(_, action)| action));
         if let Some(server) = sent_to(&actions) {
             sent += 1;
-            driver.handle(Event::Outcome {
+            driver.handle(Event::AttemptEnded {
                 id,
                 attempt: 0,
                 server,
                 status: Status::Ok,
                 elapsed: 30 * MS,
-                closed: true,
+                request_finished: true,
                 usage: Some(0.5), // of the quota, all of it through this gateway
                 settled_units: None,
                 load: None,
@@ -136,7 +136,7 @@
         }
     }
     // A customer is dropped once its buckets are full again, which takes some seconds.
-    assert!(driver.gateway.customers() < 10_000, "{} customers", driver.gateway.customers());
+    assert!(driver.gateway.customer_count() < 10_000, "{} customers", driver.gateway.customer_count());
     driver.advance_to(driver.now + 10 * S);
-    assert_eq!(driver.gateway.customers(), 0);
+    assert_eq!(driver.gateway.customer_count(), 0);
 }
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -12,7 +12,8 @@
 /// A single gateway with four servers, and two classes; the second has four times the priority weight.
 fn driver() -> Driver {
     let mut settings = Settings { gateways: 1, ..settings() };
-    settings.classes = vec![class(Effect::Safe), Class { priority_weight: 4.0, ..class(Effect::Safe) }];
+    settings.classes =
+        vec![class(Effect::Idempotent), Class { priority_weight: 4.0, ..class(Effect::Idempotent) }];
     Driver::new(settings, &[entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)])
 }
 
@@ -47,7 +48,7 @@
 #[test]
 fn no_request_is_rejected_for_a_past_overload() {
     // Three gateways share ten servers: this one's limit at rest is over 16 attempts, after slow answers under 5.
-    let settings = Settings { gateways: 3, classes: vec![class(Effect::Safe)], ..settings() };
+    let settings = Settings { gateways: 3, classes: vec![class(Effect::Idempotent)], ..settings() };
     let mut driver = Driver::new(settings, &(1..=10).map(|k| entry(k, 0)).collect::<Vec<_>>());
     let mut in_flight = std::collections::VecDeque::new();
     // An overload: answers take 500 ms each, and as many attempts are in flight as the limit allows.
@@ -123,7 +124,8 @@
 fn small_limit_serves_low_weight_beside_lost_attempts() {
     let mut settings = settings();
     settings.gateways = 100;
-    settings.classes = vec![class(Effect::Safe), Class { priority_weight: 10.0, ..class(Effect::Fragile) }];
+    settings.classes =
+        vec![class(Effect::Idempotent), Class { priority_weight: 10.0, ..class(Effect::NonIdempotent) }];
     let mut driver = Driver::new(settings, &(1..=60).map(|k| entry(k, 0)).collect::<Vec<_>>());
     let (mut to_answer, mut low_weight_sent) = (Vec::new(), 0);
     // One request in four, once a second, gets no answer; the others are answered after 100 ms.
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -5,13 +5,13 @@
 use frostgauge::*;
 
 /// A list update with one changed entry.
-fn delta(entry: Entry, state: State) -> Event {
-    Event::Servers { kind: ListKind::Delta, entries: vec![Entry { state, ..entry }] }
+fn delta(entry: ServerEntry, state: ServerState) -> Event {
+    Event::Servers { kind: ListKind::Delta, entries: vec![ServerEntry { state, ..entry }] }
 }
 
 #[test]
 fn draining_or_removed_server_gets_no_requests() {
-    for state in [State::Draining, State::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         let mut driver = Driver::new(settings(), &[entry(1, 0), entry(2, 0)]);
         driver.handle(delta(entry(1, 0), state));
         for customer in 0..8 {
@@ -33,7 +33,7 @@
 fn failed_list_keeps_the_old_one_and_resubscribes() {
     let mut driver = Driver::new(settings(), &[entry(1, 0)]);
     let actions = driver.handle(Event::Servers { kind: ListKind::Failed, entries: vec![] });
-    assert_eq!(actions, [Action::Watch]);
+    assert_eq!(actions, [Action::SubscribeToServers]);
     assert!(sent_to(&driver.request(0, 1, S).1).is_some());
 }
 
@@ -46,7 +46,7 @@
     for k in 0..3 * offered {
         driver.advance_to(S + k * 1_500 * MS / offered);
         if k == 2 * offered {
-            driver.handle(delta(Entry { ready_at: driver.now, ..entry(2, 0) }, State::Ready));
+            driver.handle(delta(ServerEntry { ready_at: driver.now, ..entry(2, 0) }, ServerState::Ready));
         }
         let (id, actions) = driver.request(0, 100 + k, 2 * S);
         let Some(server) = sent_to(&actions) else { continue };
@@ -136,7 +136,7 @@
 
 #[test]
 fn server_that_rejects_one_class_is_kept_for_the_other() {
-    let classes = vec![class(Effect::Safe), class(Effect::Fragile)];
+    let classes = vec![class(Effect::Idempotent), class(Effect::NonIdempotent)];
     let mut driver = Driver::new(Settings { classes, ..settings() }, &[entry(1, 0), entry(2, 0)]);
     // These 50 requests all go to server 1, and after their answers the gateway prefers it.
     for k in 0..50 {
@@ -173,7 +173,7 @@
 fn attempts_at_cold_fleet(ready_at: Micros) -> Vec<[usize; 2]> {
     let mut driver = Driver::new(Settings { gateways: 1, ..settings() }, &[]);
     driver.advance_to(100 * S);
-    let cold = |k| Entry { ready_at, ..entry(k, 0) };
+    let cold = |k| ServerEntry { ready_at, ..entry(k, 0) };
     driver.handle(Event::Servers { kind: ListKind::Full, entries: vec![cold(1), cold(2)] });
     let mut attempts = vec![[0; 2]; 12];
     for k in 0..480 {
