--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -103,11 +103,10 @@
     let mut driver = Driver::new(settings_with_counter(), &[entry(1, 0)]);
     let mut calls = 0;
     for k in 0..100 {
-        let (id, actions) = driver.request(0, 1_000 + k, 2 * S);
+        let (id, mut actions) = driver.request(0, 1_000 + k, 2 * S);
         let call = counter_call(&actions);
         // The longest hold is 15% of the latency objective of 600 ms.
         let hold_end = driver.now + 90 * MS;
-        let mut actions: Vec<Action> = actions;
         actions.extend(driver.advance_to(hold_end).into_iter().map(|(_, action)| action));
         let server = sent_to(&actions).expect("a new customer's request is sent within the longest hold");
         driver.end_attempt(id, 0, server, Status::Ok);
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -5,7 +5,7 @@
 use frostgauge::*;
 
 /// The timer by which a gateway does its housekeeping: peer messages, counter calls, slow start.
-const HOUSEKEEPING: TimerId = TimerId(u64::MAX);
+const HOUSEKEEPING_TIMER: TimerId = TimerId(u64::MAX);
 
 /// Gateway `index` of `count`, started at 1 s with ten servers listed.
 fn gateway(mut settings: Settings, index: usize, count: usize, seed: u64) -> Gateway {
@@ -98,7 +98,7 @@
         send_request(&mut gateways[0], 2 * S, 1, 5, count).expect("the first request is within the quota");
     end_as_served(&mut gateways[0], 2 * S + 50 * MS, 1, server, usage);
     let mut actions = Vec::new();
-    gateways[0].handle(2 * S + 100 * MS, Event::Timer { timer: HOUSEKEEPING }, &mut actions);
+    gateways[0].handle(2 * S + 100 * MS, Event::Timer { timer: HOUSEKEEPING_TIMER }, &mut actions);
     let mut messages = 0;
     for action in actions {
         if let Action::SendToPeer { to, data } = action {
@@ -176,7 +176,7 @@
             }
             for ms_ago in [200, 100, 0] {
                 let at = now - ms_ago * MS;
-                this_gateway.handle(at, Event::Timer { timer: HOUSEKEEPING }, &mut Vec::new());
+                this_gateway.handle(at, Event::Timer { timer: HOUSEKEEPING_TIMER }, &mut Vec::new());
             }
             if let Some(server) = send_request(this_gateway, now, 100 + k, 1_000 * index as u64 + k, count) {
                 end_as_served(this_gateway, now + 50 * MS, 100 + k, server, 0.0);
@@ -252,7 +252,7 @@
             let started = incarnations.iter().filter(|(_, ready_at)| now >= *ready_at);
             let entries = started.map(list_entry).collect();
             gateway.handle(now, Event::Servers { kind: ListKind::Delta, entries }, &mut Vec::new());
-            gateway.handle(now, Event::Timer { timer: HOUSEKEEPING }, &mut Vec::new());
+            gateway.handle(now, Event::Timer { timer: HOUSEKEEPING_TIMER }, &mut Vec::new());
             let (id, customer) = (100 + step, 1_000 * index as u64 + step);
             let Some(server) = send_request(gateway, now, id, customer, GATEWAYS) else { continue };
             end_as_served(gateway, now + 50 * MS, id, server, 0.0);
@@ -355,7 +355,7 @@
             end_as_served(&mut gateway, now + 20 * MS, k, server, 5.0);
         }
         let mut actions = Vec::new();
-        gateway.handle(now + 50 * MS, Event::Timer { timer: HOUSEKEEPING }, &mut actions);
+        gateway.handle(now + 50 * MS, Event::Timer { timer: HOUSEKEEPING_TIMER }, &mut actions);
         messages += actions.iter().filter(|action| matches!(action, Action::SendToPeer { .. })).count();
     }
     // 200 updates may be sent at the start, and 6 for each of 400 requests.
