--- a/crates/counter-core/src/admission_queue.rs
+++ b/crates/counter-core/src/admission_queue.rs
@@ -75,12 +75,12 @@
     }
 
     /// How many may wait at present.
-    pub fn bound(&self) -> usize {
+    pub fn current_limit(&self) -> usize {
         (self.limit as usize).min(self.config.max_waiting)
     }
 
     /// How long the last request served had waited, microseconds.
-    pub fn delay(&self) -> Micros {
+    pub fn last_delay(&self) -> Micros {
         self.last_delay
     }
 
@@ -108,8 +108,8 @@
             return false;
         }
         let gateways = self.queues.len() + usize::from(waiting == 0);
-        let fair_share = (self.bound() / gateways.max(1)).min(self.config.max_waiting_per_gateway);
-        self.len < self.bound() || waiting < fair_share && self.len < self.config.max_waiting
+        let fair_share = (self.current_limit() / gateways.max(1)).min(self.config.max_waiting_per_gateway);
+        self.len < self.current_limit() || waiting < fair_share && self.len < self.config.max_waiting
     }
 
     /// Takes up to `max` requests out, one of each gateway in turn; those past their deadline come into `late`.
--- a/crates/counter-core/src/state_machine.rs
+++ b/crates/counter-core/src/state_machine.rs
@@ -257,12 +257,12 @@
 
     /// The same numbers with nothing remembered of who had what counted: a bug to inject in tests.
     #[doc(hidden)]
-    pub fn forgetful(&self) -> StateMachine {
-        let mut forgetful = self.clone();
-        for session in forgetful.sessions.values_mut() {
+    pub fn without_deduplication(&self) -> StateMachine {
+        let mut copy = self.clone();
+        for session in copy.sessions.values_mut() {
             (session.newest_seq, session.completed) = (0, BTreeMap::new());
         }
-        forgetful
+        copy
     }
 }
 
--- a/crates/counter-core/tests/admission_queue.rs
+++ b/crates/counter-core/tests/admission_queue.rs
@@ -52,7 +52,7 @@
         queue.take(now + MS, per_ms, &mut taken, &mut late);
         taken.iter().for_each(|g| served[*g] += 1);
         if ms + 1_000 >= seconds * 1_000 {
-            worst = worst.max(queue.delay());
+            worst = worst.max(queue.last_delay());
         }
     }
     (worst, served, refused)
--- a/crates/counter-service/src/group_commit.rs
+++ b/crates/counter-service/src/group_commit.rs
@@ -147,7 +147,7 @@
 
     /// How long the queue is at present, microseconds.
     pub fn delay(&self) -> u32 {
-        u32::try_from(lock(&self.queue).0.delay()).unwrap_or(u32::MAX)
+        u32::try_from(lock(&self.queue).0.last_delay()).unwrap_or(u32::MAX)
     }
 
     /// Puts something in its gateway's line.
@@ -190,7 +190,7 @@
     pub fn status(&self) -> Value {
         let (waiting, bound, delay) = {
             let queue = lock(&self.queue);
-            (queue.0.len(), queue.0.bound(), queue.0.delay())
+            (queue.0.len(), queue.0.current_limit(), queue.0.last_delay())
         };
         let gateways: Vec<u16> = lock(&self.incarnations).keys().copied().collect();
         let seen = lock(&self.seen);
@@ -272,7 +272,7 @@
             if taken.is_empty() && late.is_empty() && queue.1 {
                 break;
             }
-            queue.0.delay()
+            queue.0.last_delay()
         };
         for item in late.drain(..) {
             shared.count_refusal(RejectReason::DeadlineExceeded);
--- a/crates/counter-service/tests/common/mod.rs
+++ b/crates/counter-service/tests/common/mod.rs
@@ -158,7 +158,7 @@
         }
         if self.planted.forgetful {
             snapshot.bytes =
-                StateMachine::restore(&snapshot.bytes).expect("own bytes").forgetful().snapshot();
+                StateMachine::restore(&snapshot.bytes).expect("own bytes").without_deduplication().snapshot();
         }
         if write_snapshot(wal.storage_mut(), &snapshot).is_ok() {
             let _ = wal.prune(snapshot.index);
--- a/crates/platform-gateway/src/discovery.rs
+++ b/crates/platform-gateway/src/discovery.rs
@@ -7,7 +7,7 @@
 use frostgauge_net::{talk, until, Timed};
 use frostgauge_platform_protocol::targets::{self, List, MAX_BYTES};
 use frostgauge_proto::http::{write_request, Body, Limits};
-use frostgauge_resource_policy::watch::{Watch, RESPONSE_SLACK_MS};
+use frostgauge_resource_policy::watch::{ListWatch, RESPONSE_SLACK_MS};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
@@ -33,15 +33,22 @@
     inbox: Sender<Message<Platform>>,
     roll: impl FnMut() -> f64,
 ) {
-    let follower =
-        Follower { address, connection: None, watch: Watch::default(), failing: false, moves, inbox, roll };
+    let follower = Follower {
+        address,
+        connection: None,
+        watch: ListWatch::default(),
+        failing: false,
+        moves,
+        inbox,
+        roll,
+    };
     follower.run().await;
 }
 
 struct Follower<R> {
     address: SocketAddr,
     connection: Option<Async<TcpStream>>,
-    watch: Watch,
+    watch: ListWatch,
     /// The last poll failed.
     failing: bool,
     moves: Receiver<SocketAddr>,
@@ -83,7 +90,7 @@
 
     /// Takes an answer, if it is the whole list or follows the known version.
     fn accept(&mut self, list: List) -> Result<HostEvent, PollError> {
-        let Some(kind) = self.watch.answered(list.reset, list.generation) else {
+        let Some(kind) = self.watch.response_received(list.reset, list.generation) else {
             return Err(PollError::Unreadable("changes to a list that is not held".to_owned()));
         };
         if std::mem::take(&mut self.failing) {
@@ -99,7 +106,7 @@
             tracing::warn!(address = %self.address, reason = %error, "discovery does not answer; the list held stays");
         }
         let unreadable = matches!(error, PollError::Unreadable(_));
-        let pause = Duration::from_micros(self.watch.failed(unreadable, (self.roll)()));
+        let pause = Duration::from_micros(self.watch.poll_failed(unreadable, (self.roll)()));
         if let Timed::Done(to) = until(Instant::now() + pause, next_move(&self.moves)).await {
             self.move_to(to);
         }
@@ -107,7 +114,7 @@
 
     fn move_to(&mut self, address: SocketAddr) {
         self.address = address;
-        self.watch.moved();
+        self.watch.reset();
         tracing::info!(%address, "discovery moved");
     }
 }
@@ -128,11 +135,11 @@
 
 /// Polls once, on the kept connection or a new one.
 async fn poll(
-    watch: &Watch,
+    watch: &ListWatch,
     to: SocketAddr,
     connection: &mut Option<Async<TcpStream>>,
 ) -> Result<List, PollError> {
-    let (changes, timeout_ms) = watch.next();
+    let (changes, timeout_ms) = watch.next_poll();
     let target = targets::poll_target(changes);
     let no_answer = |e: std::io::Error| PollError::NoAnswer(e.to_string());
     let late = || PollError::NoAnswer("no answer in time".to_owned());
--- a/crates/platform-gateway/src/host.rs
+++ b/crates/platform-gateway/src/host.rs
@@ -98,14 +98,14 @@
     peers: Option<Peers>,
 ) -> Result<(Engine, Handle), frostgauge::SettingsError> {
     let (now, site) = (clock.now(), &config.site);
-    let shares = Shares::of(config.limits.sockets, config.limits.memory_mb);
+    let shares = Shares::divide(config.limits.sockets, config.limits.memory_mb);
     let max_in_flight = if site.max_in_flight > 0 { site.max_in_flight } else { DEFAULT_MAX_IN_FLIGHT };
     let core = Core::without_tokens(site.settings.clone(), max_in_flight, config.seed, now)?;
-    let times = timeouts::ConnectionTimeouts::of(site.connect, site.idle, site.drain_grace);
+    let times = timeouts::ConnectionTimeouts::from_settings(site.connect, site.idle, site.drain_grace);
     let front = Front {
         site: site.clone(),
-        permits: ConnectionPermits::new(shares.clients, shares.idle),
-        bytes: Semaphore::new(shares.bytes),
+        permits: ConnectionPermits::new(shares.client_connections, shares.idle_client_connections),
+        bytes: Semaphore::new(shares.body_bytes),
         ready: AtomicBool::new(false),
         ids_in_flight: Mutex::default(),
     };
@@ -113,7 +113,7 @@
     let host = Platform {
         handle: handle.clone(),
         executor,
-        pool: Arc::new(ConnectionPool::new(shares.servers, times.idle)),
+        pool: Arc::new(ConnectionPool::new(shares.server_connections, times.idle)),
         times,
         servers: ServerTable::default(),
         peers,
@@ -125,15 +125,15 @@
 
 impl Platform {
     fn times(&self, timeout: Duration) -> Times {
-        let (now, timeouts::ConnectionTimeouts { connect, first_byte, pause, whole, .. }) =
+        let (now, timeouts::ConnectionTimeouts { connect, first_byte, last_byte_pause, response, .. }) =
             (Instant::now(), self.times);
         Times {
             connect,
             first_byte: now + first_byte,
             repeat_by: None,
             deadline: now + timeout,
-            pause,
-            whole,
+            pause: last_byte_pause,
+            whole: response,
         }
     }
 
--- a/crates/resource-policy/src/shares.rs
+++ b/crates/resource-policy/src/shares.rs
@@ -14,23 +14,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
     /// Connections of clients.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Of these, idle ones.
-    pub idle: usize,
+    pub idle_client_connections: usize,
     /// Connections to servers.
-    pub servers: usize,
+    pub server_connections: usize,
     /// Bytes of contents and answers held for all clients.
-    pub bytes: usize,
+    pub body_bytes: usize,
 }
 
 impl Shares {
     /// Divides `sockets` descriptors and `memory_mb` megabytes. Half of the free descriptors go to each side. A
     /// quarter of the memory is for what is held for clients, a quarter for answers that come in, which bounds the
     /// connections to servers. A sixth of the descriptors may be idle clients', half of what usual clients hold.
-    pub fn of(sockets: usize, memory_mb: u64) -> Shares {
+    pub fn divide(sockets: usize, memory_mb: u64) -> Shares {
         let each_side = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2) / 2;
-        let bytes = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX) / 4;
-        let servers = each_side.min(bytes / MAX_ANSWER_BYTES).max(1);
-        Shares { clients: each_side, idle: sockets / 6, servers, bytes }
+        let body_bytes = usize::try_from(memory_mb << 20).unwrap_or(usize::MAX) / 4;
+        let server_connections = each_side.min(body_bytes / MAX_ANSWER_BYTES).max(1);
+        Shares {
+            client_connections: each_side,
+            idle_client_connections: sockets / 6,
+            server_connections,
+            body_bytes,
+        }
     }
 }
--- a/crates/resource-policy/src/timeouts.rs
+++ b/crates/resource-policy/src/timeouts.rs
@@ -43,14 +43,14 @@
     /// closes meanwhile may have run.
     pub idle: Duration,
     /// Shortest and longest time between a request's other bytes and its last one.
-    pub pause: (Duration, Duration),
+    pub last_byte_pause: (Duration, Duration),
     /// From an answer's first byte to its last, at most.
-    pub whole: Duration,
+    pub response: Duration,
 }
 
 impl ConnectionTimeouts {
     /// From the settings' times in µs; 0 means that none is named.
-    pub fn of(connect_us: u64, idle_us: u64, drain_grace_us: u64) -> ConnectionTimeouts {
+    pub fn from_settings(connect_us: u64, idle_us: u64, drain_grace_us: u64) -> ConnectionTimeouts {
         let named_or = |us: u64, default: Duration| if us > 0 { Duration::from_micros(us) } else { default };
         let connect = named_or(connect_us, DEFAULT_CONNECT_TIMEOUT);
         let idle =
@@ -59,8 +59,8 @@
             connect,
             first_byte: named_or(drain_grace_us, connect).min(2 * connect),
             idle,
-            pause: LAST_BYTE_PAUSE,
-            whole: connect,
+            last_byte_pause: LAST_BYTE_PAUSE,
+            response: connect,
         }
     }
 }
--- a/crates/resource-policy/src/watch.rs
+++ b/crates/resource-policy/src/watch.rs
@@ -16,17 +16,17 @@
 
 /// State of a gateway's watch of the list.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct ListWatch {
     /// Version of the list that is known.
     version: Option<u64>,
     /// Failed polls in a row.
     failures: u32,
 }
 
-impl Watch {
+impl ListWatch {
     /// The next poll: `None` for the whole list, else the version after which changes are asked for and how long the
     /// poll may be held, ms; and how long its answer may take, ms.
-    pub fn next(&self) -> (Option<(u64, u64)>, u64) {
+    pub fn next_poll(&self) -> (Option<(u64, u64)>, u64) {
         match self.version {
             None => (None, RESPONSE_SLACK_MS),
             // After a failure changes are asked for at once: another lost poll is then noticed sooner.
@@ -36,8 +36,8 @@
     }
 
     /// Takes an answer and returns the kind of list. `None` for changes that do not follow the known version, which
-    /// the caller treats as [`Watch::failed`] and unreadable, so that it pauses before the next poll.
-    pub fn answered(&mut self, whole: bool, version: u64) -> Option<ListKind> {
+    /// the caller treats as [`ListWatch::poll_failed`] and unreadable, so that it pauses before the next poll.
+    pub fn response_received(&mut self, whole: bool, version: u64) -> Option<ListKind> {
         if !whole && self.version.is_none_or(|known| version < known) {
             return None;
         }
@@ -48,7 +48,7 @@
 
     /// Takes a failed poll and returns how long to wait before the next. After an `unreadable` answer the whole list
     /// is needed, since what it contained is lost. `roll` from 0 up to 1 spreads the polls of gateways.
-    pub fn failed(&mut self, unreadable: bool, roll: f64) -> Micros {
+    pub fn poll_failed(&mut self, unreadable: bool, roll: f64) -> Micros {
         if unreadable {
             self.version = None;
         }
@@ -58,7 +58,7 @@
     }
 
     /// Starts over with the whole list, since discovery has moved.
-    pub fn moved(&mut self) {
-        *self = Watch::default();
+    pub fn reset(&mut self) {
+        *self = ListWatch::default();
     }
 }
--- a/crates/simulator/src/counter.rs
+++ b/crates/simulator/src/counter.rs
@@ -232,7 +232,7 @@
         model.queue.take(now, BATCH, &mut taken, &mut late);
         let delays = &mut model.seen.delay;
         delays.resize(delays.len().max(second + 1), 0);
-        delays[second] = delays[second].max(model.queue.delay());
+        delays[second] = delays[second].max(model.queue.last_delay());
         model.busy = true;
         let span = model.day.sync + model.day.each * taken.len() as Micros;
         let mut replies = vec![];
