--- a/crates/resource-policy/src/client_permits.rs
+++ b/crates/resource-policy/src/client_permits.rs
@@ -1,47 +1,51 @@
-//! Permits of clients' connections.
+//! Permits of client connections.
 //!
-//! Where all permits are in use, an idle connection gives up its own for a new one: one that never sent a request
-//! first, then the one that has been idle longest. So connections that send nothing cannot keep others out.
+//! If all permits are in use, an idle connection is evicted for a new one: first connections that have never sent a
+//! request, then the one that has been idle longest. Connections that send nothing therefore cannot keep others out.
 //!
-//! Idle connections that sent a request are bounded by themselves, since the clients' side has an unknown bound of its
-//! own: clients that send once and keep each connection would else leave none there for a new one.
+//! Idle connections that have sent a request have a separate limit, because the clients' side limits its connections
+//! too and that limit is unknown here: clients that send one request on each connection and keep it open could
+//! otherwise exhaust it and be unable to open a new one.
 
 use std::collections::BTreeSet;
 
-/// An idle connection, ordered by how soon it is evicted.
+/// An idle connection. The least one in the derived order is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleClient {
-    /// It has sent a request before.
+    /// Whether the connection has ever sent a request.
     has_sent: bool,
-    /// Order of becoming idle.
+    /// Number of the idle period, counted over all connections.
     sequence: u64,
 }
 
-/// What becomes of a new connection.
+/// Result of [`ClientPermits::acquire`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acquisition {
-    /// It has a permit.
+    /// The new connection has a permit.
     Granted,
-    /// It waits; this idle connection is to be evicted.
+    /// No permit is free: the caller has this idle connection closed and calls `acquire` again after a permit is released.
     Evict(IdleClient),
-    /// It waits until something changes.
+    /// No permit is free and none can be freed now: the caller calls `acquire` again after a permit is released or a
+    /// connection becomes idle or busy.
     Wait,
 }
 
-/// Which permits are in use, and which connections may be evicted.
+/// Counts the permits in use and tracks which connections may be evicted.
 #[derive(Debug)]
 pub struct ClientPermits {
     max_connections: usize,
     max_idle: usize,
     in_use: usize,
     last_sequence: u64,
+    /// Idle connections that have not been selected for eviction.
     idle: BTreeSet<IdleClient>,
-    /// Evicted for a new connection, not closed yet.
+    /// Connections selected for eviction in favour of a new one that are not closed yet.
     evicting: BTreeSet<IdleClient>,
 }
 
 impl ClientPermits {
-    /// Permits for `max_connections`, at least one; `max_idle` of them for idle connections that sent a request.
+    /// Creates `max_connections` permits, at least one. At most `max_idle` idle connections that have sent a request are
+    /// kept.
     pub fn new(max_connections: usize, max_idle: usize) -> ClientPermits {
         ClientPermits {
             max_connections: max_connections.max(1),
@@ -53,12 +57,12 @@
         }
     }
 
-    /// Permits in use.
+    /// Number of permits in use.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// A new connection asks for a permit. One connection is evicted at a time.
+    /// Requests a permit for a new connection. Only one connection is evicted at a time.
     pub fn acquire(&mut self) -> Acquisition {
         if self.in_use < self.max_connections {
             self.in_use += 1;
@@ -67,31 +71,33 @@
         if !self.evicting.is_empty() {
             return Acquisition::Wait;
         }
-        let Some(first) = self.idle.pop_first() else { return Acquisition::Wait };
-        self.evicting.insert(first);
-        Acquisition::Evict(first)
+        let Some(candidate) = self.idle.pop_first() else { return Acquisition::Wait };
+        self.evicting.insert(candidate);
+        Acquisition::Evict(candidate)
     }
 
-    /// A permit is returned.
+    /// Returns a permit after its connection has closed.
     pub fn release(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// A connection becomes idle. Returns it, and the one to be evicted because too many are idle.
+    /// Records that a connection has become idle. Returns its key, and the connection to evict if more than `max_idle`
+    /// connections that have sent a request are idle.
     pub fn mark_idle(&mut self, has_sent: bool) -> (IdleClient, Option<IdleClient>) {
         self.last_sequence += 1;
         let client = IdleClient { has_sent, sequence: self.last_sequence };
         self.idle.insert(client);
-        let mut kept = self.idle.range(IdleClient { has_sent: true, sequence: 0 }..);
-        let oldest = kept.next().copied().filter(|_| kept.count() >= self.max_idle);
+        let mut have_sent = self.idle.range(IdleClient { has_sent: true, sequence: 0 }..);
+        // `next` has consumed the oldest, so that `count` covers the others.
+        let oldest = have_sent.next().copied().filter(|_| have_sent.count() >= self.max_idle);
         if let Some(oldest) = oldest {
             self.idle.remove(&oldest);
         }
         (client, oldest)
     }
 
-    /// A connection is idle no longer. True if it was to be evicted for a new one: where a request came first it
-    /// stays, and another may be evicted.
+    /// Records that a connection is no longer idle. Returns true if it had been selected for eviction in favour of a
+    /// new connection. If a request arrived on it before it was closed it stays open, and another one may be evicted.
     pub fn mark_busy(&mut self, client: IdleClient) -> bool {
         self.idle.remove(&client);
         self.evicting.remove(&client)
--- a/crates/resource-policy/src/lib.rs
+++ b/crates/resource-policy/src/lib.rs
@@ -1,6 +1,7 @@
-//! Decisions of the host around a gateway on the platform, free of I/O: how the machine's resources are divided, which
-//! clients' connections may stay, how long connections are waited for and kept, and when discovery is polled. Time and
-//! random numbers are parameters. Quotas, routing, attempts, health and retry advice are the library's.
+//! Resource policy of the process that runs a gateway on the platform, free of I/O: how file descriptors and memory are
+//! divided, which idle client connections are evicted, the timeouts of connections, and when discovery is polled. Time
+//! and random numbers are parameters. Quotas, routing, attempts, health checks and retry advice are decided in the
+//! gateway library, not here.
 
 pub mod client_permits;
 pub mod shares;
--- a/crates/resource-policy/src/timeouts.rs
+++ b/crates/resource-policy/src/timeouts.rs
@@ -1,63 +1,69 @@
-//! Timeouts and intervals of connections.
+//! Timeouts and intervals of client connections, of connections to servers, and of shutdown.
 
 use std::time::Duration;
 
-/// A new connection has sent a whole request by then, or is closed.
+/// A new client connection that has not sent a complete request within this time of its opening is closed.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// A request that has begun on a kept connection is complete by then, or the connection is closed.
+/// Maximum time from the first byte to the last byte of a later request on the same client connection; the connection
+/// is closed after that.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// An idle connection of a client is closed after this.
+/// A client connection that has been idle for this long is closed.
 pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// An answer is written by then, or the connection is closed.
+/// A client connection is closed if writing a response to it takes longer.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a closed connection is still read: unread bytes would make the kernel discard an answer on its way.
+/// How long a client connection is kept after its sending side is closed, waiting for the client to close. If it were
+/// closed with unread bytes, the kernel would send a reset and discard a response that is still being transmitted.
 pub const LINGER_TIME: Duration = Duration::from_millis(200);
-/// How many bytes of a closed connection are still read.
+/// Maximum number of bytes read and discarded during [`LINGER_TIME`].
 pub const MAX_LINGER_BYTES: usize = 64 << 10;
-/// How long an idle connection is still read during shutdown.
+/// How long an idle client connection is still read after shutdown has begun, since a request may already be in transit.
 pub const SHUTDOWN_READ_TIME: Duration = Duration::from_millis(450);
-/// How long new connections are accepted during shutdown: the front learns of it some time later.
+/// How long new connections and requests are accepted after shutdown has begun: senders of requests, such as a
+/// load balancer, learn of it only some time later.
 pub const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// Shutdown ends this long after the longest deadline at the latest: answers are written by then.
+/// After the last connection was accepted, shutdown takes at most the longest request deadline plus this time, in which
+/// the last responses are written.
 pub const SHUTDOWN_SLACK: Duration = Duration::from_millis(400);
-/// Interval between two searches for idle connections to servers that are to be closed.
+/// Interval at which pooled connections to servers are checked for an expired idle timeout.
 pub const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after an error of the datagram socket.
+/// Pause after a receive error of the datagram socket, so that a permanent error does not cause a busy loop.
 pub const DATAGRAM_ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// Connect timeout where the settings name none.
+/// Connect timeout if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle timeout of connections to servers where the settings name none.
+/// Idle timeout of connections to servers if the settings contain none.
 const DEFAULT_SERVER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Shortest and longest time between a request's other bytes and its last one.
+/// Minimum and maximum pause between writing all other bytes of a request and writing its last byte.
 const LAST_BYTE_PAUSE: (Duration, Duration) = (Duration::from_millis(1), Duration::from_millis(5));
 
 /// Timeouts of connections to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionTimeouts {
-    /// A new connection is established by then.
+    /// Maximum time for establishing a connection.
     pub connect: Duration,
-    /// From the decision to the first byte, at most: an attempt that waits longer for its connection might reach a
-    /// server that drains by then.
+    /// Maximum time from the routing decision to the first byte sent. After a longer wait for a connection, the server
+    /// may already be draining.
     pub first_byte: Duration,
-    /// An idle connection is used again within this, well before servers close it: a request on a connection that
-    /// closes meanwhile may have run.
+    /// Maximum idle time of a connection that is used again. It is well below the servers' own idle timeout, because a
+    /// request that meets a closing connection may or may not have run.
     pub idle: Duration,
-    /// Shortest and longest time between a request's other bytes and its last one.
+    /// Minimum and maximum pause before the last byte of a request; see [`last_byte_pause`].
     pub last_byte_pause: (Duration, Duration),
-    /// From an answer's first byte to its last, at most.
+    /// Maximum time from the first byte of a response to its last.
     pub response: Duration,
 }
 
 impl ConnectionTimeouts {
-    /// From the settings' times in µs; 0 means that none is named.
+    /// Derives the timeouts from settings in µs; 0 selects the default. `idle_us` is the idle timeout of the servers, and
+    /// `drain_grace_us` how long a draining server still accepts requests.
     pub fn from_settings(connect_us: u64, idle_us: u64, drain_grace_us: u64) -> ConnectionTimeouts {
-        let named_or = |us: u64, default: Duration| if us > 0 { Duration::from_micros(us) } else { default };
-        let connect = named_or(connect_us, DEFAULT_CONNECT_TIMEOUT);
+        let or_default =
+            |us: u64, default: Duration| if us > 0 { Duration::from_micros(us) } else { default };
+        let connect = or_default(connect_us, DEFAULT_CONNECT_TIMEOUT);
         let idle =
             if idle_us > 0 { Duration::from_micros(idle_us) * 3 / 4 } else { DEFAULT_SERVER_IDLE_TIMEOUT };
         ConnectionTimeouts {
             connect,
-            first_byte: named_or(drain_grace_us, connect).min(2 * connect),
+            first_byte: or_default(drain_grace_us, connect).min(2 * connect),
             idle,
             last_byte_pause: LAST_BYTE_PAUSE,
             response: connect,
@@ -65,7 +71,8 @@
     }
 }
 
-/// How long a request's last byte is held back on a connection that took `round_trip` to be established.
+/// Pause before the last byte of a request, on a connection that took `round_trip` to establish: two round trips, within
+/// the given minimum and maximum.
 pub fn last_byte_pause(round_trip: Duration, (min, max): (Duration, Duration)) -> Duration {
     (2 * round_trip).clamp(min, max)
 }
--- a/crates/resource-policy/src/watch.rs
+++ b/crates/resource-policy/src/watch.rs
@@ -1,63 +1,67 @@
-//! When the list of servers is polled: the whole list first, then changes to the version known, by long polls.
+//! Polling of discovery for the list of servers: first the full list, then by long polls the changes since the known
+//! version.
 
 use frostgauge::{ListKind, Micros};
 
-/// How long a long poll may be held, ms. A poll whose answer is lost looks like one that is held; what it contained
-/// takes effect 2 s after its hold, which is the time for noticing and polling again.
+/// How long discovery may hold a long poll if nothing changes, ms. A lost response looks like a held poll, and the
+/// changes in it must take effect within 2 s after the hold: the time for detecting the loss and polling again.
 pub const LONG_POLL_MS: u64 = 1_000;
-/// How long after a poll's hold its answer may come, ms; then the poll counts as failed.
+/// Time allowed for the response beyond the hold of a poll, ms; after that the poll counts as failed.
 pub const RESPONSE_SLACK_MS: u64 = 400;
-/// Pause after a first failed poll, ms.
+/// Maximum pause after the first failed poll, ms.
 const MIN_PAUSE_MS: u64 = 20;
-/// Longest pause after a failed poll, ms: the agent is on this machine.
+/// Maximum pause after any failed poll, ms. It is short because the discovery agent runs on the same machine.
 const MAX_PAUSE_MS: u64 = 250;
-/// Maximum number of times that the pause doubles.
+/// Maximum number of times that the pause doubles, so that the shift does not overflow.
 const MAX_PAUSE_DOUBLINGS: u32 = 10;
 
-/// State of a gateway's watch of the list.
+/// State of a gateway's polling of the server list.
 #[derive(Clone, Debug, Default)]
 pub struct ListWatch {
-    /// Version of the list that is known.
+    /// Version of the last list received; `None` if the full list is needed.
     version: Option<u64>,
-    /// Failed polls in a row.
+    /// Consecutive failed polls.
     failures: u32,
 }
 
 impl ListWatch {
-    /// The next poll: `None` for the whole list, else the version after which changes are asked for and how long the
-    /// poll may be held, ms; and how long its answer may take, ms.
+    /// Parameters of the next poll, and the timeout for its response, ms. The parameters are `None` to request the full
+    /// list, otherwise the version since which changes are requested and how long discovery may hold the poll, ms.
     pub fn next_poll(&self) -> (Option<(u64, u64)>, u64) {
         match self.version {
             None => (None, RESPONSE_SLACK_MS),
-            // After a failure changes are asked for at once: another lost poll is then noticed sooner.
+            // After a failure the poll is not held, so that another lost poll is detected sooner.
             Some(version) if self.failures > 0 => (Some((version, 0)), RESPONSE_SLACK_MS),
             Some(version) => (Some((version, LONG_POLL_MS)), LONG_POLL_MS + RESPONSE_SLACK_MS),
         }
     }
 
-    /// Takes an answer and returns the kind of list. `None` for changes that do not follow the known version, which
-    /// the caller treats as [`ListWatch::poll_failed`] and unreadable, so that it pauses before the next poll.
-    pub fn response_received(&mut self, whole: bool, version: u64) -> Option<ListKind> {
-        if !whole && self.version.is_none_or(|known| version < known) {
+    /// Handles a response and returns the kind of the list in it. Returns `None` for changes that cannot be applied,
+    /// because no version is known or theirs is older than the known one; the caller then calls
+    /// [`ListWatch::poll_failed`] with `unreadable` set, so that it pauses before the next poll.
+    pub fn response_received(&mut self, full: bool, version: u64) -> Option<ListKind> {
+        if !full && self.version.is_none_or(|known| version < known) {
             return None;
         }
         self.failures = 0;
         self.version = Some(version);
-        Some(if whole { ListKind::Full } else { ListKind::Delta })
+        Some(if full { ListKind::Full } else { ListKind::Delta })
     }
 
-    /// Takes a failed poll and returns how long to wait before the next. After an `unreadable` answer the whole list
-    /// is needed, since what it contained is lost. `roll` from 0 up to 1 spreads the polls of gateways.
-    pub fn poll_failed(&mut self, unreadable: bool, roll: f64) -> Micros {
+    /// Handles a failed poll and returns the pause before the next one, µs. After an `unreadable` response the full list
+    /// is requested, since the changes in that response are lost. `jitter`, a random number in [0, 1), spreads the polls
+    /// of the gateways: the pause is between half and all of the current backoff.
+    pub fn poll_failed(&mut self, unreadable: bool, jitter: f64) -> Micros {
         if unreadable {
             self.version = None;
         }
         let pause_ms = (MIN_PAUSE_MS << self.failures.min(MAX_PAUSE_DOUBLINGS)).min(MAX_PAUSE_MS);
         self.failures += 1;
-        (pause_ms as f64 * (0.5 + roll / 2.0) * 1e3) as Micros
+        (pause_ms as f64 * (0.5 + jitter / 2.0) * 1e3) as Micros
     }
 
-    /// Starts over with the whole list, since discovery has moved.
+    /// Forgets the known version and the failures, so that the next poll requests the full list. Called when the address
+    /// of discovery changes.
     pub fn reset(&mut self) {
         *self = ListWatch::default();
     }
