--- a/crates/counter-core/src/admission_queue.rs
+++ b/crates/counter-core/src/admission_queue.rs
@@ -1,61 +1,66 @@
-//! Admission of requests when more come than the disk can sync, and the order in which they are served.
+//! Admission of requests if more arrive than the disk can sync, and the order in which they are processed.
 //!
-//! Each gateway has a queue of its own, and they are served in turn, so that a gateway that floods the service makes
-//! only its own queue long. How many requests may wait in all follows the delay, as in CoDel (RFC 8289): while the
-//! least delay of an interval stays over the target, fewer are admitted; once it is under, more. A queue that is
-//! long for a moment is no standing queue, and a length that suits one disk does not suit another.
+//! Each gateway has its own queue, and the queues are served round-robin, so that a gateway that floods the service
+//! lengthens only its own queue. The limit on all waiting requests is adapted to the queueing delay, as in CoDel (RFC
+//! 8289): if the minimum delay within an interval exceeds the target, the limit is lowered, otherwise raised. The minimum
+//! is used because a short burst is no standing queue. A fixed limit would not do, since the right one depends on the
+//! speed of the disk.
 
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Interval whose least delay counts, microseconds: some commits of a slow disk.
+/// Interval over which the minimum delay is measured: long enough for several commits on a slow disk.
 const INTERVAL: Micros = 100_000;
-/// Share of the limit that is left after an interval with a standing queue. Down fast: a rejected request costs
-/// its gateway little.
+/// Factor applied to the limit after an interval with a standing queue. It is lowered faster than raised, because a
+/// rejected request costs its gateway little.
 const DECREASE: f64 = 0.7;
-/// Growth of the limit after any other interval.
+/// Factor applied to the limit after any other interval.
 const INCREASE: f64 = 1.1;
-/// The limit is never under this: an idle service takes any small burst.
+/// Lower bound of the limit, in requests, so that an idle service admits any small burst.
 const MIN_LIMIT: f64 = 16.0;
 
-/// Bounds of the queue.
+/// Limits of the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Requests that wait in all, at most.
+    /// Maximum number of waiting requests of all gateways together.
     pub max_waiting: usize,
-    /// Requests of one gateway that wait, at most.
+    /// Maximum number of waiting requests of one gateway.
     pub max_waiting_per_gateway: usize,
-    /// A least delay over this in any interval is a standing queue, microseconds.
+    /// The queue counts as standing if the minimum delay within an interval exceeds this, microseconds.
     pub target_delay: Micros,
 }
 
 struct Waiting<T> {
-    since: Micros,
+    admitted_at: Micros,
+    /// When the client stops waiting for the reply.
     deadline: Micros,
     item: T,
 }
 
-/// Requests that wait, in one queue for each gateway.
+/// The waiting requests, in one queue per gateway.
 pub struct AdmissionQueue<T> {
     config: Config,
     queues: BTreeMap<u16, VecDeque<Waiting<T>>>,
-    /// Gateways with requests, the next one to serve first.
-    turns: VecDeque<u16>,
+    /// Gateways with waiting requests, in round-robin order.
+    round_robin: VecDeque<u16>,
+    /// Number of waiting requests of all gateways together.
     len: usize,
+    /// Adaptive limit on `len`; fractional, so that small increases accumulate.
     limit: f64,
     interval_start: Micros,
-    /// Least delay in this interval.
+    /// Minimum delay of the requests taken in this interval; `None` if none was.
     min_delay: Option<Micros>,
+    /// Delay of the request taken last.
     last_delay: Micros,
 }
 
 impl<T> AdmissionQueue<T> {
-    /// An empty one.
+    /// Creates an empty queue, with the limit at `max_waiting`.
     pub fn new(config: Config) -> AdmissionQueue<T> {
         AdmissionQueue {
             config,
             queues: BTreeMap::new(),
-            turns: VecDeque::new(),
+            round_robin: VecDeque::new(),
             len: 0,
             limit: config.max_waiting as f64,
             interval_start: 0,
@@ -64,45 +69,46 @@
         }
     }
 
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// How many may wait at present.
+    /// The adaptive limit on waiting requests, at most `max_waiting`. Gateways below their fair share may exceed it.
     pub fn current_limit(&self) -> usize {
         (self.limit as usize).min(self.config.max_waiting)
     }
 
-    /// How long the last request served had waited, microseconds.
+    /// How long the request taken last had been waiting, microseconds.
     pub fn last_delay(&self) -> Micros {
         self.last_delay
     }
 
-    /// Admits a request that is of use until `deadline`.
+    /// Appends a request to its gateway's queue if it is admitted. `deadline` is when the client stops waiting
+    /// for the reply.
     ///
     /// # Errors
-    /// The request, if it is not admitted.
+    /// Returns the request if a limit rejects it.
     pub fn offer(&mut self, now: Micros, gateway: u16, deadline: Micros, item: T) -> Result<(), T> {
         let waiting = self.queues.get(&gateway).map_or(0, VecDeque::len);
         if !self.admits(waiting) {
             return Err(item);
         }
         if waiting == 0 {
-            self.turns.push_back(gateway);
+            self.round_robin.push_back(gateway);
         }
-        self.queues.entry(gateway).or_default().push_back(Waiting { since: now, deadline, item });
+        self.queues.entry(gateway).or_default().push_back(Waiting { admitted_at: now, deadline, item });
         self.len += 1;
         Ok(())
     }
 
-    /// Whether one more request of a gateway with so many waiting is admitted. Over the limit only gateways under
-    /// their fair share are: one gateway's flood must not keep all others out.
+    /// Whether a request is admitted from a gateway that has `waiting` requests in the queue. Above the limit, only
+    /// gateways below their fair share are admitted, so that a flood from one gateway cannot keep the others out.
     fn admits(&self, waiting: usize) -> bool {
         if waiting >= self.config.max_waiting_per_gateway {
             return false;
@@ -112,13 +118,14 @@
         self.len < self.current_limit() || waiting < fair_share && self.len < self.config.max_waiting
     }
 
-    /// Takes up to `max` requests out, one of each gateway in turn; those past their deadline come into `late`.
+    /// Removes requests round-robin until `taken` holds `max`; requests past their deadline are moved to `late` instead.
+    /// At the end of an interval, adjusts the limit.
     pub fn take(&mut self, now: Micros, max: usize, taken: &mut Vec<T>, late: &mut Vec<T>) {
         while taken.len() < max {
-            let Some(gateway) = self.turns.pop_front() else { break };
+            let Some(gateway) = self.round_robin.pop_front() else { break };
             let Some(request) = self.pop(gateway) else { continue };
-            self.last_delay = now.saturating_sub(request.since);
-            self.min_delay = Some(self.min_delay.map_or(self.last_delay, |least| least.min(self.last_delay)));
+            self.last_delay = now.saturating_sub(request.admitted_at);
+            self.min_delay = Some(self.min_delay.map_or(self.last_delay, |min| min.min(self.last_delay)));
             if request.deadline <= now {
                 late.push(request.item);
             } else {
@@ -131,27 +138,28 @@
         }
     }
 
-    /// The oldest request of a gateway, which goes to the end of the turns if more wait.
+    /// Removes the oldest request of a gateway. If it has more, the gateway is moved to the end of the round-robin order.
     fn pop(&mut self, gateway: u16) -> Option<Waiting<T>> {
         let queue = self.queues.get_mut(&gateway)?;
         let request = queue.pop_front();
         if queue.is_empty() {
             self.queues.remove(&gateway);
         } else {
-            self.turns.push_back(gateway);
+            self.round_robin.push_back(gateway);
         }
         self.len -= usize::from(request.is_some());
         request
     }
 
+    /// `waiting` is the number of requests that were waiting before the last were taken.
     fn adjust_limit(&mut self, waiting: usize) {
-        let is_standing = self.min_delay.take().is_some_and(|least| least > self.config.target_delay);
-        let next = if is_standing {
-            // From what waits, not from a limit far over it, which would hold nothing back.
+        let is_standing = self.min_delay.take().is_some_and(|min| min > self.config.target_delay);
+        let new_limit = if is_standing {
+            // Starts from the number waiting if that is lower: a limit far above it would reject nothing.
             self.limit.min(waiting as f64) * DECREASE
         } else {
             self.limit * INCREASE
         };
-        self.limit = next.clamp(MIN_LIMIT, (self.config.max_waiting as f64).max(MIN_LIMIT));
+        self.limit = new_limit.clamp(MIN_LIMIT, (self.config.max_waiting as f64).max(MIN_LIMIT));
     }
 }
--- a/crates/counter-core/src/connect_backoff.rs
+++ b/crates/counter-core/src/connect_backoff.rs
@@ -2,40 +2,43 @@
 
 use crate::Micros;
 
-/// Backoff after the first failure, microseconds.
+/// Backoff after the first failure.
 const MIN_BACKOFF: Micros = 50_000;
-/// Longest backoff, microseconds.
+/// Maximum backoff, also used after any rejection by the service.
 const MAX_BACKOFF: Micros = 2_000_000;
 
-/// Doubles with each failure; each pause is drawn from the upper half, so that many gateways do not reconnect as
-/// one.
+/// The backoff doubles with each failure. Each pause is drawn uniformly from its upper half, so that many gateways do not
+/// reconnect at the same time.
 #[derive(Debug)]
 pub(crate) struct ConnectBackoff {
+    /// Backoff after the next failure.
     next: Micros,
+    /// State of the xorshift64* generator; never zero.
     rng_state: u64,
 }
 
 impl ConnectBackoff {
-    /// `seed` differs from gateway to gateway.
+    /// `seed` must differ between gateways, so that their pauses differ.
     pub(crate) fn new(seed: u64) -> ConnectBackoff {
-        // The state of xorshift must not be zero.
+        // Xorshift would return only zeros from a state of zero.
         ConnectBackoff { next: MIN_BACKOFF, rng_state: seed | 1 }
     }
 
-    /// A connection stands: the next failure begins anew.
+    /// Resets the backoff to its minimum after a connection was established.
     pub(crate) fn reset(&mut self) {
         self.next = MIN_BACKOFF;
     }
 
-    /// The pause after a failure, microseconds; `rejected`: by a service for which it is no use to try soon.
+    /// Returns the pause after a failed or lost connection. `rejected` selects the maximum backoff: the service has
+    /// rejected the connection, and would most likely do so again.
     pub(crate) fn after_failure(&mut self, rejected: bool) -> Micros {
         let backoff = if rejected { MAX_BACKOFF } else { self.next };
         self.next = (self.next * 2).min(MAX_BACKOFF);
-        backoff / 2 + (backoff as f64 / 2.0 * self.draw()) as Micros
+        backoff / 2 + (backoff as f64 / 2.0 * self.next_random()) as Micros
     }
 
-    /// A number from 0 up to 1 (xorshift64*).
-    fn draw(&mut self) -> f64 {
+    /// Returns a pseudo-random number in [0, 1) (xorshift64*).
+    fn next_random(&mut self) -> f64 {
         self.rng_state ^= self.rng_state >> 12;
         self.rng_state ^= self.rng_state << 25;
         self.rng_state ^= self.rng_state >> 27;
--- a/crates/counter-core/src/lib.rs
+++ b/crates/counter-core/src/lib.rs
@@ -1,11 +1,13 @@
-//! Decisions of the counter service and of its clients, free of I/O and clock.
+//! Logic of the counter service and of its clients, free of I/O; time is a parameter.
 //!
-//! - [`StateMachine`]: counters by name, and which adds of which gateway are in them. The same records give the same
-//!   state on every machine.
-//! - [`AdmissionQueue`]: which requests are admitted when more come than the disk can sync, and in which order.
-//! - [`ClientCalls`]: a gateway's side: sequences, retries, and the outcome of each call.
+//! - [`StateMachine`]: the counters by name, and the adds of each gateway already applied. Applying the same records
+//!   results in the same state on every machine.
+//! - [`AdmissionQueue`]: which requests are admitted if more arrive than the disk can sync, and in which order they are
+//!   processed.
+//! - [`ClientCalls`]: the gateway's side: sequences, retries, and the outcome of each call.
 //!
-//! Amounts are whole sub-units, a millionth of a unit each ([`SUB_UNITS`]): sums are exact and do not drift.
+//! Amounts are whole sub-units of a millionth of a unit ([`SUB_UNITS`]), so that sums are exact and accumulate no
+//! rounding errors.
 
 mod admission_queue;
 mod client_calls;
@@ -20,19 +22,20 @@
     DEDUP_WINDOW, MAX_TOTAL,
 };
 
-/// A time or a span in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Sub-units of a unit.
+/// Number of sub-units in a unit.
 pub const SUB_UNITS: f64 = 1e6;
 
-/// Units as sub-units; none if they are not finite or past [`MAX_TOTAL`].
+/// Converts units to sub-units, rounded to the nearest. `None` if the amount is not finite or its absolute value exceeds
+/// [`MAX_TOTAL`].
 pub fn sub_units(units: f64) -> Option<i64> {
-    let sub = (units * SUB_UNITS).round();
-    (sub.abs() <= MAX_TOTAL as f64).then_some(sub as i64)
+    let rounded = (units * SUB_UNITS).round();
+    (rounded.abs() <= MAX_TOTAL as f64).then_some(rounded as i64)
 }
 
-/// Sub-units as units.
-pub fn units(sub: i64) -> f64 {
-    sub as f64 / SUB_UNITS
+/// Converts sub-units to units.
+pub fn units(sub_units: i64) -> f64 {
+    sub_units as f64 / SUB_UNITS
 }
--- a/crates/counter-core/src/state_machine/operation.rs
+++ b/crates/counter-core/src/state_machine/operation.rs
@@ -1,43 +1,43 @@
-//! Operations, and the records of them in the log.
+//! Operations on the state machine, and their records in the write-ahead log.
 
 use frostgauge_proto::counter::Nonce;
 
-/// Something that changes the state.
+/// A request to change the state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// A gateway's process opens a session, or renews it.
+    /// Opens a session for a gateway's process, or continues the one that it has.
     Open {
-        /// The gateway's number.
+        /// Number of the gateway.
         gateway: u16,
-        /// Its process.
+        /// Random identifier of the gateway's process, drawn at its start.
         incarnation: Nonce,
     },
-    /// Adds to a counter.
+    /// Adds an amount to a counter, which is created if it does not exist or has expired.
     Add {
-        /// The gateway's number.
+        /// Number of the gateway.
         gateway: u16,
-        /// The epoch of its session.
+        /// Epoch of the gateway's session.
         epoch: u64,
-        /// The add's sequence in this epoch, from 1.
+        /// Sequence of the add within the epoch, from 1; a retry has that of the first attempt.
         seq: u64,
-        /// Sub-units to add.
+        /// Amount to add, sub-units.
         amount: i64,
-        /// Time to live of a new counter, milliseconds.
+        /// Time to live if the counter is created, milliseconds.
         ttl_ms: u32,
-        /// The counter's name.
+        /// Name of the counter.
         name: Vec<u8>,
     },
 }
 
-/// An operation at its place in the log.
+/// An operation applied to the state, as it is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its place, from 1, without gaps.
+    /// Position in the log, from 1, without gaps.
     pub index: u64,
-    /// Milliseconds since 1970; never less than that of the record before.
+    /// When the operation was applied, milliseconds since 1970; never less than in the preceding record.
     pub time_ms: u64,
-    /// The operation.
+    /// The operation applied.
     pub operation: Operation,
-    /// The total or epoch that it gave: a replay that gives another has diverged.
+    /// The resulting total of an add, or epoch of an open. A replay with a different result has diverged.
     pub result: i64,
 }
--- a/crates/counter-core/src/state_machine/undo.rs
+++ b/crates/counter-core/src/state_machine/undo.rs
@@ -1,33 +1,35 @@
-//! Taking back the last change, for a group that could not be written.
+//! Undoing the last changes if their group of records could not be written to the log.
 
 use super::{Counter, GatewaySession, StateMachine};
 
-/// How to take a change back.
+/// What is needed to undo one change: the affected parts of the state as they were before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Undo {
     pub(super) index: u64,
     pub(super) time_ms: u64,
-    /// The counter added to, as it was before.
+    /// For an add: the counter's name, and the counter before the add, if it existed.
     pub(super) counter: Option<(Vec<u8>, Option<Counter>)>,
+    /// Expired counters that the change removed.
     pub(super) expired: Vec<(Vec<u8>, Counter)>,
-    /// The gateway; for an opened session, the one before.
+    /// The gateway; for an open, also its previous session, if it had one.
     pub(super) session: (u16, Option<GatewaySession>),
-    /// Set for an add.
+    /// How an add changed the deduplication window; `None` for an open.
     pub(super) window_shift: Option<WindowShift>,
 }
 
-/// How an add moved its gateway's deduplication window.
+/// How an add changed its gateway's deduplication window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct WindowShift {
+    /// Sequence of the add.
     pub(super) seq: u64,
-    /// The newest sequence before.
+    /// Highest sequence before the add.
     pub(super) newest_seq: u64,
-    /// What fell out of the window.
+    /// Sequences that left the window, with their totals.
     pub(super) dropped: Vec<(u64, i64)>,
 }
 
 impl StateMachine {
-    /// Takes back the last change not yet taken back.
+    /// Undoes a change. Changes must be undone in reverse order: `undo` belongs to the latest change not yet undone.
     pub fn undo(&mut self, undo: Undo) {
         (self.index, self.time_ms) = (undo.index, undo.time_ms);
         let (gateway, session_before) = undo.session;
