--- a/crates/counter-core/src/client_calls.rs
+++ b/crates/counter-core/src/client_calls.rs
@@ -75,7 +75,7 @@
     pub attempts: u32,
 }
 
-/// Totals since the start of the process, shown on the admin pages.
+/// Counts since the start of the process, shown on the admin pages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallStats {
     /// Calls made by the library.
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Totals of calls, retries and connections so far.
+    /// Counts of calls, outcomes, retries and connections so far.
     pub fn stats(&self) -> CallStats {
         self.stats
     }
