--- a/crates/counter-service/tests/common/mod.rs
+++ b/crates/counter-service/tests/common/mod.rs
@@ -80,7 +80,7 @@
 
     pub fn plan(&mut self, plan: FaultPlan) {
         let lies = self.planted.lies;
-        self.disk().set_plan(FaultPlan { ignore_syncs: lies, ..plan });
+        self.disk().set_fault_plan(FaultPlan { ignore_syncs: lies, ..plan });
     }
 
     /// One step; false once the store has stopped.
--- a/crates/counter-service/tests/write_ahead_log.rs
+++ b/crates/counter-service/tests/write_ahead_log.rs
@@ -37,7 +37,7 @@
     // A record is under 80 bytes: the last three, and some more.
     for len in whole.saturating_sub(400)..whole {
         let mut cut = disk.clone();
-        cut.edit_behind_back(&last, |bytes| bytes.truncate(len));
+        cut.modify_file_directly(&last, |bytes| bytes.truncate(len));
         let what =
             refused(cut).unwrap_or_else(|| panic!("{len} of {whole}: taken, though {known} were told"));
         assert!(what.contains(".fgl at byte") && what.contains("durable"), "{what}");
@@ -53,8 +53,8 @@
     let (mut last_index, mut indexes) = (0, std::collections::BTreeSet::new());
     for len in 0..=whole {
         let mut cut = disk.clone();
-        cut.edit_behind_back("durable", |bytes| *bytes = empty.clone());
-        cut.edit_behind_back(&last, |bytes| bytes.truncate(len));
+        cut.modify_file_directly("durable", |bytes| *bytes = empty.clone());
+        cut.modify_file_directly(&last, |bytes| bytes.truncate(len));
         let (wal, _) = WriteAheadLog::open(cut, CONFIG).unwrap_or_else(|r| panic!("{len}: {r}"));
         let index = wal.machine().index();
         assert!(index >= last_index, "{len}: more bytes, fewer records");
@@ -127,10 +127,10 @@
     let mut disk = wal.into_storage();
     let last = named(&disk, ".fgl").pop().expect("a log");
     // The log loses its end, all of which is in the snapshot.
-    disk.edit_behind_back(&last, |bytes| bytes.truncate(60));
+    disk.modify_file_directly(&last, |bytes| bytes.truncate(60));
     let refused = refused(disk.clone()).expect("the claim tells that more was durable there");
     assert!(refused.contains(&last), "{refused}");
-    disk.edit_behind_back("durable", Vec::clear);
+    disk.modify_file_directly("durable", Vec::clear);
     world.recover(disk).expect("the snapshot holds all");
     assert!(world.wal.as_ref().expect("a store").machine().index() >= index);
     for _ in 0..40 {
@@ -144,7 +144,7 @@
     wal.sync_watermark().expect("it seals");
     let mut disk = world.wal.take().expect("a store").into_storage();
     for name in named(&disk, ".fgl") {
-        disk.remove_behind_back(&name);
+        disk.remove_file_directly(&name);
     }
     assert!(WriteAheadLog::open(disk, CONFIG).is_err());
 }
@@ -169,7 +169,7 @@
     let (mut world, disk) = played(2, 10);
     let mut wal = WriteAheadLog::open(disk, CONFIG).expect("again").0;
     // Opening calls nothing more; the write of a group comes before its sync.
-    wal.storage_mut().set_plan(FaultPlan { failed_sync_at_call: 6, ..FaultPlan::default() });
+    wal.storage_mut().set_fault_plan(FaultPlan { failed_sync_at_call: 6, ..FaultPlan::default() });
     let epoch = world.epoch(0);
     let sent = |seq| Sent { gateway: 0, epoch, seq, amount: 5, name: 0 };
     world.wal = Some(wal);
@@ -187,14 +187,14 @@
 fn a_file_of_another_format_is_named() {
     let (_, mut disk) = played(4, 30);
     let last = named(&disk, ".fgl").pop().expect("a log");
-    disk.edit_behind_back(&last, |bytes| {
+    disk.modify_file_directly(&last, |bytes| {
         bytes[7] = 9;
         let sum = frostgauge_counter_service::write_ahead_log::format::crc(&bytes[..16]);
         bytes[16..20].copy_from_slice(&sum.to_be_bytes());
     });
     let what = refused(disk.clone()).expect("refused");
     assert!(what.contains(&last) && what.contains("version"), "{what}");
-    disk.edit_behind_back("durable", |bytes| bytes[7] = 2);
+    disk.modify_file_directly("durable", |bytes| bytes[7] = 2);
     assert!(refused(disk).expect("refused").contains("durable"));
 }
 
--- a/crates/fleet-agent/benches/guard.rs
+++ b/crates/fleet-agent/benches/guard.rs
@@ -83,10 +83,10 @@
             b.iter(|| {
                 now += 1_000;
                 let ticket = guard.permit(now, black_box("t17"), "read", at).expect("listed");
-                guard.demand_began(now, &ticket);
-                let may = guard.open(now, &ticket) && guard.may_use(now, &ticket);
-                guard.closed(&ticket);
-                guard.demand_ended(now, &ticket);
+                guard.begin_demand(now, &ticket);
+                let may = guard.try_open_connection(now, &ticket) && guard.may_use(now, &ticket);
+                guard.record_connection_closed(&ticket);
+                guard.end_demand(now, &ticket);
                 may
             });
         });
--- a/crates/fleet-agent/src/attempt_guard/connections.rs
+++ b/crates/fleet-agent/src/attempt_guard/connections.rs
@@ -20,12 +20,12 @@
     }
 
     /// Any unused permit for a connection of the gateway's own to a server.
-    pub fn any_permit(&self, now: Micros, server: SocketAddr) -> Option<ConnectionPermit> {
+    pub fn any_unused_permit(&self, now: Micros, server: SocketAddr) -> Option<ConnectionPermit> {
         let permit = self.view.rules(now).permit("", "", server)?;
         if !permit.budgeted {
             return Some(permit);
         }
-        self.permits.any_unused(now, &permit)
+        self.permits.any_unused_permit(now, &permit)
     }
 
     /// The policy of connection budgets in effect now.
@@ -34,8 +34,8 @@
     }
 
     /// Counts a connection as open, if its permit allows one more.
-    pub fn open(&mut self, now: Micros, permit: &ConnectionPermit) -> bool {
-        self.permits.open(now, permit)
+    pub fn try_open_connection(&mut self, now: Micros, permit: &ConnectionPermit) -> bool {
+        self.permits.try_open_connection(now, permit)
     }
 
     /// Whether a request may use an open connection.
@@ -44,8 +44,8 @@
     }
 
     /// Counts a connection as closed: to be called once it is closed at the server too.
-    pub fn closed(&mut self, permit: &ConnectionPermit) {
-        self.permits.closed(permit);
+    pub fn record_connection_closed(&mut self, permit: &ConnectionPermit) {
+        self.permits.record_connection_closed(permit);
     }
 
     /// Moves an idle connection to another permit, if that allows one more.
@@ -53,43 +53,43 @@
         self.permits.transfer(now, from, to)
     }
 
-    /// A request has use for a connection, from now on until [`AttemptGuard::demand_ended`].
-    pub fn demand_began(&mut self, now: Micros, permit: &ConnectionPermit) {
-        self.permits.demand_began(now, permit);
+    /// A request has use for a connection, from now on until [`AttemptGuard::end_demand`].
+    pub fn begin_demand(&mut self, now: Micros, permit: &ConnectionPermit) {
+        self.permits.begin_demand(now, permit);
     }
 
     /// A request has no more use for a connection.
-    pub fn demand_ended(&mut self, now: Micros, permit: &ConnectionPermit) {
-        self.permits.demand_ended(now, permit);
+    pub fn end_demand(&mut self, now: Micros, permit: &ConnectionPermit) {
+        self.permits.end_demand(now, permit);
     }
 
     /// A request found no server with a permit. It counts as demand at each group of servers that take new work: where
     /// this gateway has no permit, nobody would ask for one otherwise.
-    pub fn demand_missed(&mut self, now: Micros, tenant: &str, class: &str) {
+    pub fn record_unserved_demand(&mut self, now: Micros, tenant: &str, class: &str) {
         let rules = self.view.rules(now).clone();
         let mut groups = BTreeSet::new();
-        for (address, name) in &rules.names {
+        for (address, name) in &rules.server_names {
             let effective = &rules.effective;
             if !effective.budgeted.contains_key(name) || !effective.servers.contains_key(name) {
                 continue;
             }
             if let Some(permit) = rules.permit(tenant, class, *address) {
                 if groups.insert(permit.group.clone()) {
-                    self.permits.demand_missed(now, &permit);
+                    self.permits.record_unserved_demand(now, &permit);
                 }
             }
         }
     }
 
     /// Where more connections are open than permitted: how many are to be closed.
-    pub fn excess(&self, now: Micros) -> Vec<(BudgetScope, u32)> {
+    pub fn excess_connections(&self, now: Micros) -> Vec<(BudgetScope, u32)> {
         let budgeted = &self.view.rules(now).effective.budgeted;
-        self.permits.excess(now, |server| budgeted.contains_key(server), !budgeted.is_empty())
+        self.permits.excess_connections(now, |server| budgeted.contains_key(server), !budgeted.is_empty())
     }
 
     /// Whether no more connections are open at these servers than permitted.
     pub fn within_permits(&self, now: Micros, servers: &BTreeMap<String, bool>) -> bool {
-        self.permits.excess(now, |server| servers.contains_key(server), false).is_empty()
+        self.permits.excess_connections(now, |server| servers.contains_key(server), false).is_empty()
     }
 
     /// What the gateway reports to the replicas of its connections and its demand.
@@ -103,8 +103,8 @@
     }
 
     /// The process is about to end: no connection may be opened any more, and once all are closed it reports that.
-    pub fn start_leaving(&mut self) {
-        self.permits.start_leaving();
+    pub fn begin_drain(&mut self) {
+        self.permits.begin_drain();
     }
 
     /// Whether the gateway has any permits.
@@ -113,7 +113,7 @@
     }
 
     /// Whether no connection is open at all.
-    pub fn all_closed(&self) -> bool {
-        self.permits.all_closed()
+    pub fn all_connections_closed(&self) -> bool {
+        self.permits.all_connections_closed()
     }
 }
--- a/crates/fleet-agent/src/attempt_guard/mod.rs
+++ b/crates/fleet-agent/src/attempt_guard/mod.rs
@@ -37,8 +37,8 @@
     /// Publishes what the follower acts under. To be called before the follower's messages about it are sent: replicas
     /// rely on it.
     pub fn set_view(&mut self, view: Arc<RulesView>) {
-        self.quota.retain(|tenant| view.names_tenant(tenant));
-        self.permits.set_granted(view.permits.clone());
+        self.quota.retain(|tenant| view.contains_tenant(tenant));
+        self.permits.set_grants(view.permits.clone());
         self.view = view;
     }
 
@@ -130,7 +130,7 @@
         self.check_rules(now, tenant, class)?;
         let required = self.required_confirmation(now);
         let (source, rules) = self.view.at(now);
-        let address = rules.names.get(&server).and_then(|name| rules.effective.servers.get(name));
+        let address = rules.server_names.get(&server).and_then(|name| rules.effective.servers.get(name));
         if !address.is_some_and(|address| self.confirmations.allow_new_work(address, now, required)) {
             return Err(AttemptRejection::ServerUnavailable);
         }
@@ -138,7 +138,13 @@
     }
 
     /// What an attempt at a server, by name, goes under; none: it must not go. Without a check of the quota.
-    pub fn source_of(&self, now: Micros, tenant: &str, class: &str, server: &str) -> Option<RuleSource> {
+    pub fn rule_source_for(
+        &self,
+        now: Micros,
+        tenant: &str,
+        class: &str,
+        server: &str,
+    ) -> Option<RuleSource> {
         self.check_rules(now, tenant, class).ok()?;
         let required = self.required_confirmation(now);
         let (source, rules) = self.view.at(now);
--- a/crates/fleet-agent/src/attempt_guard/probing.rs
+++ b/crates/fleet-agent/src/attempt_guard/probing.rs
@@ -43,7 +43,7 @@
     /// Whether this gateway may use a server without a lease: one with a budget only if it has permits of its own there.
     fn usable_on_fallback(&self, address: &str) -> bool {
         let rules = &self.view.fallback_rules;
-        let name = address.parse().ok().and_then(|address: SocketAddr| rules.names.get(&address));
+        let name = address.parse().ok().and_then(|address: SocketAddr| rules.server_names.get(&address));
         name.is_none_or(|name| {
             let is_budgeted = rules.effective.budgeted.contains_key(name);
             !is_budgeted || self.permits.max_open_on_fallback(&BudgetScope::server(name)) > 0
--- a/crates/fleet-agent/src/canary.rs
+++ b/crates/fleet-agent/src/canary.rs
@@ -1,6 +1,6 @@
 //! How attempts fare under a version: a gateway of the canary part reports it before the others follow.
 //!
-//! A version is unhealthy when attempts fail under it that did not fail before: over half of at least [`MIN_ATTEMPTS`],
+//! A version is unhealthy when attempts fail under it that did not fail before: over half of at least [`MIN_VERDICT_ATTEMPTS`],
 //! where it was under a quarter under the version before. It is healthy when that has not happened for the observation
 //! time. A gateway without requests reports it healthy too: that it starts, holds the version and keeps its lease is
 //! what it can tell.
@@ -8,7 +8,7 @@
 use frostgauge_consensus::{Micros, VersionNumber};
 
 /// Attempts needed for a verdict on their success rate.
-pub const MIN_ATTEMPTS: u64 = 20;
+pub const MIN_VERDICT_ATTEMPTS: u64 = 20;
 
 /// Whether a version works, as one gateway has seen it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,11 +27,11 @@
 
 impl AttemptCounts {
     fn mostly_failed(self) -> bool {
-        self.ended >= MIN_ATTEMPTS && self.failed * 2 > self.ended
+        self.ended >= MIN_VERDICT_ATTEMPTS && self.failed * 2 > self.ended
     }
 
     fn often_failed(self) -> bool {
-        self.ended >= MIN_ATTEMPTS && self.failed * 4 >= self.ended
+        self.ended >= MIN_VERDICT_ATTEMPTS && self.failed * 4 >= self.ended
     }
 }
 
--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -18,7 +18,7 @@
 mod view_cache;
 
 pub use attempt_guard::AttemptGuard;
-pub use canary::{CanaryObserver, CanaryVerdict, MIN_ATTEMPTS};
+pub use canary::{CanaryObserver, CanaryVerdict, MIN_VERDICT_ATTEMPTS};
 pub use error::AgentError;
 pub use frostgauge_connection_budget::ConnectionPermit;
 pub use health_confirmation::{HealthConfirmations, MAX_TRACKED_SERVERS};
--- a/crates/fleet-agent/src/permits.rs
+++ b/crates/fleet-agent/src/permits.rs
@@ -50,7 +50,7 @@
 }
 
 impl Permits {
-    pub(crate) fn set_granted(&mut self, granted: Arc<ReceivedGrants>) {
+    pub(crate) fn set_grants(&mut self, granted: Arc<ReceivedGrants>) {
         self.holdings.set_grants(granted);
     }
 
@@ -58,11 +58,11 @@
         self.unavailable_zones = zones;
     }
 
-    pub(crate) fn start_leaving(&mut self) {
+    pub(crate) fn begin_drain(&mut self) {
         self.holdings.begin_drain();
     }
 
-    pub(crate) fn open(&mut self, now: Micros, permit: &ConnectionPermit) -> bool {
+    pub(crate) fn try_open_connection(&mut self, now: Micros, permit: &ConnectionPermit) -> bool {
         self.holdings.try_open(now, permit)
     }
 
@@ -74,12 +74,12 @@
         self.holdings.transfer(now, from, to)
     }
 
-    pub(crate) fn closed(&mut self, permit: &ConnectionPermit) {
+    pub(crate) fn record_connection_closed(&mut self, permit: &ConnectionPermit) {
         self.holdings.release(permit);
     }
 
     /// A permit for the same server, of any tenant of its group that has one unused.
-    pub(crate) fn any_unused(&self, now: Micros, like: &ConnectionPermit) -> Option<ConnectionPermit> {
+    pub(crate) fn any_unused_permit(&self, now: Micros, like: &ConnectionPermit) -> Option<ConnectionPermit> {
         let holder = self.holdings.tenants_with_room(now, &like.group).next()?;
         Some(ConnectionPermit { tenant_class: holder.clone(), ..like.clone() })
     }
@@ -93,19 +93,19 @@
         self.holdings.allowed(Micros::MAX, scope)
     }
 
-    pub(crate) fn demand_began(&mut self, now: Micros, permit: &ConnectionPermit) {
+    pub(crate) fn begin_demand(&mut self, now: Micros, permit: &ConnectionPermit) {
         if permit.budgeted {
             self.demand.begin(now, &permit.group, &permit.tenant_class);
         }
     }
 
-    pub(crate) fn demand_missed(&mut self, now: Micros, permit: &ConnectionPermit) {
+    pub(crate) fn record_unserved_demand(&mut self, now: Micros, permit: &ConnectionPermit) {
         if permit.budgeted {
             self.demand.record_unserved_request(now, &permit.group, &permit.tenant_class);
         }
     }
 
-    pub(crate) fn demand_ended(&mut self, now: Micros, permit: &ConnectionPermit) {
+    pub(crate) fn end_demand(&mut self, now: Micros, permit: &ConnectionPermit) {
         if permit.budgeted {
             self.demand.end(now, &permit.group, &permit.tenant_class);
         }
@@ -113,7 +113,7 @@
 
     /// Where more is open than permitted, among the servers that `is_budgeted` names and, with `tenants`, among the
     /// tenants' shares: how many are to be closed.
-    pub(crate) fn excess(
+    pub(crate) fn excess_connections(
         &self,
         now: Micros,
         is_budgeted: impl Fn(&str) -> bool,
@@ -135,7 +135,7 @@
         }
     }
 
-    pub(crate) fn all_closed(&self) -> bool {
+    pub(crate) fn all_connections_closed(&self) -> bool {
         self.holdings.is_empty()
     }
 }
--- a/crates/fleet-agent/src/process.rs
+++ b/crates/fleet-agent/src/process.rs
@@ -314,11 +314,11 @@
         let (source, _) = self.refresh_guard(now);
         let servers: Vec<&str> = self.guard.eligible_servers(now).map(|(name, _)| name).collect();
         if servers.is_empty() {
-            self.guard.demand_missed(now, tenant, class);
+            self.guard.record_unserved_demand(now, tenant, class);
             return None;
         }
         let server = (*servers.get(choice.checked_rem(servers.len())?)?).to_owned();
-        self.guard.source_of(now, tenant, class, &server)?;
+        self.guard.rule_source_for(now, tenant, class, &server)?;
         Some(Authorization { source, tenant: tenant.to_owned(), class: class.to_owned(), server })
     }
 
@@ -326,7 +326,7 @@
     /// its lease.
     pub fn reauthorize(&mut self, now: Micros, earlier: &Authorization) -> Option<Authorization> {
         self.refresh_guard(now);
-        let source = self.guard.source_of(now, &earlier.tenant, &earlier.class, &earlier.server)?;
+        let source = self.guard.rule_source_for(now, &earlier.tenant, &earlier.class, &earlier.server)?;
         Some(Authorization { source, ..earlier.clone() })
     }
 
--- a/crates/fleet-agent/src/rules_view.rs
+++ b/crates/fleet-agent/src/rules_view.rs
@@ -13,11 +13,11 @@
     /// The rules.
     pub effective: EffectiveRules,
     /// Names of the servers by the address they listen on.
-    pub names: BTreeMap<SocketAddr, String>,
+    pub server_names: BTreeMap<SocketAddr, String>,
     /// Plans of the tenants, by the newest of the versions.
-    pub plans: BTreeMap<String, String>,
+    pub tenant_plans: BTreeMap<String, String>,
     /// Zones of the servers, likewise.
-    pub zones: BTreeMap<String, String>,
+    pub server_zones: BTreeMap<String, String>,
     /// Connection budgets, likewise.
     pub budgets: Option<Arc<CompiledPolicy>>,
 }
@@ -26,18 +26,18 @@
     /// Indexes effective rules; `newest`: the rules of the newest version among those that they come from.
     pub fn new(effective: EffectiveRules, newest: Option<&Rules>) -> IndexedRules {
         let by_address = |(name, address): (&String, &String)| Some((address.parse().ok()?, name.clone()));
-        let names = effective.servers.iter().filter_map(by_address).collect();
+        let server_names = effective.servers.iter().filter_map(by_address).collect();
         let tenants = newest.iter().flat_map(|rules| &rules.tenants);
-        let plans = tenants.map(|(name, tenant)| (name.clone(), tenant.plan.clone())).collect();
+        let tenant_plans = tenants.map(|(name, tenant)| (name.clone(), tenant.plan.clone())).collect();
         let servers = newest.iter().flat_map(|rules| &rules.servers);
-        let zones = servers.map(|(name, server)| (name.clone(), server.zone.clone())).collect();
+        let server_zones = servers.map(|(name, server)| (name.clone(), server.zone.clone())).collect();
         let budgets = newest.and_then(Rules::compiled_budgets).map(Arc::new);
-        IndexedRules { effective, names, plans, zones, budgets }
+        IndexedRules { effective, server_names, tenant_plans, server_zones, budgets }
     }
 
     /// The permit that a tenant's connection to a server needs; none: there is no such server here.
     pub(crate) fn permit(&self, tenant: &str, class: &str, server: SocketAddr) -> Option<ConnectionPermit> {
-        let name = self.names.get(&server)?;
+        let name = self.server_names.get(&server)?;
         let needs = self.effective.budgeted.contains_key(name);
         Some(permits::permit(self.budgets.as_deref(), needs, name, tenant, class))
     }
@@ -54,8 +54,8 @@
     fn eq(&self, other: &IndexedRules) -> bool {
         // The rest follows from these, and is read from the same version.
         self.effective == other.effective
-            && self.plans == other.plans
-            && self.zones == other.zones
+            && self.tenant_plans == other.tenant_plans
+            && self.server_zones == other.server_zones
             && match (&self.budgets, &other.budgets) {
                 (Some(a), Some(b)) => a.policy() == b.policy(),
                 (a, b) => a.is_none() && b.is_none(),
@@ -112,7 +112,7 @@
         self.valid_lease(now).is_none()
     }
 
-    pub(crate) fn names_tenant(&self, tenant: &str) -> bool {
+    pub(crate) fn contains_tenant(&self, tenant: &str) -> bool {
         let leased = self.lease.as_ref().map(|lease| &lease.rules);
         let mut rules = leased.into_iter().chain([&self.fallback_rules]);
         rules.any(|rules| rules.effective.tenants.contains_key(tenant))
--- a/crates/fleet-agent/src/task/worker.rs
+++ b/crates/fleet-agent/src/task/worker.rs
@@ -158,7 +158,7 @@
         let pending = process.pending_budgets();
         let mut guard = self.handle.guard();
         let within_permits = if guard.within_permits(now, &pending) { pending } else { BTreeMap::new() };
-        self.all_closed_since_start |= guard.all_closed();
+        self.all_closed_since_start |= guard.all_connections_closed();
         // What an earlier process of this task opened is still there until it is closed.
         let alone = self.restarts == 0 || self.all_closed_since_start;
         let report = GatewayReport { sole_process: alone, ..guard.connection_report(now) };
--- a/crates/fleet-agent/tests/canary.rs
+++ b/crates/fleet-agent/tests/canary.rs
@@ -1,6 +1,6 @@
 //! How attempts fare under a version.
 
-use frostgauge_fleet_agent::{CanaryObserver, CanaryVerdict, MIN_ATTEMPTS};
+use frostgauge_fleet_agent::{CanaryObserver, CanaryVerdict, MIN_VERDICT_ATTEMPTS};
 
 fn ends(t: &mut CanaryObserver, failed: bool, n: u64) {
     (0..n).for_each(|_| t.record_attempt(failed));
@@ -18,7 +18,7 @@
     ends(&mut t, false, 30);
     assert_eq!(t.verdict(100), verdict(1, true));
     t.set_version(200, Some(2));
-    ends(&mut t, true, MIN_ATTEMPTS - 1);
+    ends(&mut t, true, MIN_VERDICT_ATTEMPTS - 1);
     assert_eq!(t.verdict(200), None, "a few failures say nothing");
     t.record_attempt(true);
     assert_eq!(t.verdict(200), verdict(2, false));
--- a/crates/fleet-simulator/src/connections.rs
+++ b/crates/fleet-simulator/src/connections.rs
@@ -134,7 +134,7 @@
         let Some(permit) = address.and_then(|a| guard.permit(now, &permit.tenant, &permit.class, a)) else {
             return false;
         };
-        guard.demand_began(now, &permit);
+        guard.begin_demand(now, &permit);
         // One of its own that rests, or one that rests for another.
         let rests = |c: &Connection| {
             let mine =
@@ -161,7 +161,7 @@
             return true;
         }
         let Some(guard) = self.guard_of(gateway) else { return false };
-        let may = guard.open(now, &permit);
+        let may = guard.try_open_connection(now, &permit);
         let goes = may || injected_bug == Some(InjectedBug::NoPermits);
         self.schedule_request_end(
             if goes { true_now + way + took } else { true_now },
@@ -201,7 +201,7 @@
         }
         let true_now = self.now();
         let Some(guard) = self.guard_of(gateway) else { return };
-        let excess = guard.excess(now);
+        let excess = guard.excess_connections(now);
         let closed_here = self.injected_bug() == Some(InjectedBug::CountedClosedLocally);
         for (place, n) in excess {
             let wire = self.connections_at_servers_mut();
@@ -224,7 +224,7 @@
                 let way = self.draw_between(1_000, 30_000);
                 self.schedule_connection_event(true_now + way, id, ConnectionEvent::Closed);
                 if closed_here {
-                    self.guard_of(gateway).into_iter().for_each(|g| g.closed(&permit));
+                    self.guard_of(gateway).into_iter().for_each(|g| g.record_connection_closed(&permit));
                 }
             }
         }
--- a/crates/fleet-simulator/src/dispatch.rs
+++ b/crates/fleet-simulator/src/dispatch.rs
@@ -65,12 +65,12 @@
             }
             Event::ConnectionClosed { incarnation, permit, .. } => {
                 if let Some(process) = host.process_of(incarnation) {
-                    process.guard().closed(&permit);
+                    process.guard().record_connection_closed(&permit);
                 }
             }
             Event::RequestEnded { incarnation, permit, .. } => {
                 if let Some(process) = host.process_of(incarnation) {
-                    process.guard().demand_ended(now, &permit);
+                    process.guard().end_demand(now, &permit);
                 }
             }
         }
--- a/crates/fleet-simulator/src/faults.rs
+++ b/crates/fleet-simulator/src/faults.rs
@@ -51,7 +51,7 @@
             } else {
                 disk.reopen();
             }
-            disk.set_plan(FaultPlan { ignore_syncs: lies, ..FaultPlan::default() });
+            disk.set_fault_plan(FaultPlan { ignore_syncs: lies, ..FaultPlan::default() });
             disk
         };
         let incarnation = host.incarnation - 1;
@@ -81,7 +81,7 @@
     /// Something goes wrong with the disk of a replica that is down, counted from its next start.
     pub fn inject_disk_faults(&mut self, gateway: GatewayId, plan: FaultPlan) {
         let disk = self.hosts.get_mut(&gateway).and_then(|host| host.replica_storage.as_mut());
-        disk.into_iter().for_each(|d| d.set_plan(plan));
+        disk.into_iter().for_each(|d| d.set_fault_plan(plan));
     }
 
     /// A machine that is down comes back with a clock that shows something else.
@@ -147,7 +147,7 @@
     /// A process is told to end, as by SIGTERM: it closes what it has, and says so. It is killed apart.
     pub fn start_leaving(&mut self, gateway: GatewayId) {
         if let Some(guard) = self.guard_of(gateway) {
-            guard.start_leaving();
+            guard.begin_drain();
         }
     }
 
--- a/crates/fleet-simulator/src/simulation.rs
+++ b/crates/fleet-simulator/src/simulation.rs
@@ -102,7 +102,7 @@
         let written = Replica::bootstrap(disk, &voters, self.config.rules(), percent, self.config.seed);
         let mut disk = written.unwrap_or_else(|error| panic!("bootstrap: {error}"));
         if self.config.injected_bug == Some(InjectedBug::IgnoredSyncs) {
-            disk.set_plan(FaultPlan { ignore_syncs: true, ..FaultPlan::default() });
+            disk.set_fault_plan(FaultPlan { ignore_syncs: true, ..FaultPlan::default() });
         }
         disk
     }
--- a/crates/fleet-simulator/tests/consensus.rs
+++ b/crates/fleet-simulator/tests/consensus.rs
@@ -220,7 +220,8 @@
     let mut story = given(fleet_of_7()).when_power_is_lost(&[3]).when(|w| w.lose_disk(3)).when_started(&[3]);
     assert!(!story.simulation().process(3).and_then(|p| p.replica()).expect("a keeper").is_voter());
     story = story.after(4.0);
-    let config = story.simulation().process(3).and_then(|p| p.replica()).expect("a keeper").configuration_number();
+    let config =
+        story.simulation().process(3).and_then(|p| p.replica()).expect("a keeper").configuration_number();
     assert!(config > 1, "configuration {config}");
     // The other two may go now: it holds what they held.
     story
--- a/crates/gateway/src/fleet_rules/admission.rs
+++ b/crates/gateway/src/fleet_rules/admission.rs
@@ -57,11 +57,11 @@
             });
         }
         if guard.eligible_servers(now).next().is_none() {
-            guard.demand_missed(now, subject, class);
+            guard.record_unserved_demand(now, subject, class);
         }
         // One that came with a version is known by its plan alone.
         let view = guard.view().clone();
-        let plan = view.at(now).1.plans.get(subject);
+        let plan = view.at(now).1.tenant_plans.get(subject);
         let plan = plan.and_then(|plan| self.plans.iter().position(|p| p == plan));
         let here = Tenant {
             id: frostgauge_settings::customer_id(subject),
--- a/crates/gateway/src/fleet_rules/mod.rs
+++ b/crates/gateway/src/fleet_rules/mod.rs
@@ -69,7 +69,7 @@
     fn eligible_nodes(&self) -> (BTreeSet<SocketAddr>, BTreeMap<SocketAddr, String>) {
         let now = self.clock.now();
         let guard = self.task.guard();
-        let zones = &guard.view().at(now).1.zones;
+        let zones = &guard.view().at(now).1.server_zones;
         let open: Vec<(&str, SocketAddr)> =
             guard.eligible_servers(now).filter_map(|(name, a)| Some((name, a.parse().ok()?))).collect();
         let zone = |name: &str| zones.get(name).cloned().unwrap_or_default();
--- a/crates/gateway/src/fleet_rules/runtime.rs
+++ b/crates/gateway/src/fleet_rules/runtime.rs
@@ -133,7 +133,7 @@
         self.held.start_leaving();
         let timing = self.rules.timing;
         let end = self.rules.clock.now() + timing.lease;
-        while !self.rules.task.guard().all_closed() && self.rules.clock.now() < end {
+        while !self.rules.task.guard().all_connections_closed() && self.rules.clock.now() < end {
             Timer::after(Duration::from_micros(timing.tick)).await;
         }
         if self.rules.task.send(Command::RequestLease) {
--- a/crates/gateway/src/upstream/budgeted_pool/mod.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/mod.rs
@@ -159,7 +159,7 @@
         if let Some(held) = self.take_idle(state, to, Some(permit)) {
             return Some(held);
         }
-        let opened = self.rules.guard().open(self.rules.now(), permit);
+        let opened = self.rules.guard().try_open_connection(self.rules.now(), permit);
         opened.then(|| HeldPermit { pool: self.clone(), permit: Some(permit.clone()), stream: None })
     }
 
@@ -201,7 +201,7 @@
     /// Closes connections that were idle for too long, and those over the gateway's permits.
     pub fn close_excess(self: &Arc<Self>) {
         let now = self.rules.now();
-        let excess = self.rules.guard().excess(now);
+        let excess = self.rules.guard().excess_connections(now);
         let mut to_close = vec![];
         let mut state = self.state();
         let State { idle, closing, .. } = &mut *state;
@@ -232,7 +232,7 @@
 
     /// Closes all idle connections, for good: those in use are closed as they come back.
     pub fn start_leaving(self: &Arc<Self>) {
-        self.rules.guard().start_leaving();
+        self.rules.guard().begin_drain();
         self.keep(&[]);
     }
 
@@ -274,7 +274,7 @@
                     }
                 }
             }
-            self.rules.guard().closed(&permit);
+            self.rules.guard().record_connection_closed(&permit);
             self.serve_waiting();
         };
         executor.spawn(work).detach();
--- a/crates/gateway/src/upstream/budgeted_pool/path.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/path.rs
@@ -32,7 +32,7 @@
         let mut guard = pool.rules.guard();
         let now = pool.rules.now();
         let permit = guard.permit(now, tenant, class, to)?;
-        guard.demand_began(now, &permit);
+        guard.begin_demand(now, &permit);
         drop(guard);
         Some(BudgetedPath { pool: pool.clone(), to, permit: Some(permit), in_demand: true })
     }
@@ -52,7 +52,8 @@
         let Some(permit) = &self.permit else {
             let mut guard = self.pool.rules.guard();
             let now = self.pool.rules.now();
-            let permit = guard.any_permit(now, self.to).filter(|t| guard.open(now, t))?;
+            let permit =
+                guard.any_unused_permit(now, self.to).filter(|t| guard.try_open_connection(now, t))?;
             drop(guard);
             return Some(HeldPermit { pool: self.pool.clone(), permit: Some(permit), stream: None });
         };
@@ -92,7 +93,7 @@
     fn drop(&mut self) {
         if let Some(permit) = self.permit.as_ref().filter(|_| self.in_demand) {
             let now = self.pool.rules.now();
-            self.pool.rules.guard().demand_ended(now, permit);
+            self.pool.rules.guard().end_demand(now, permit);
         }
     }
 }
--- a/crates/gateway/tests/budgeted_pool.rs
+++ b/crates/gateway/tests/budgeted_pool.rs
@@ -150,9 +150,9 @@
         site.book.slots(0, 0);
         site.held.close_excess();
         assert_eq!(stream.read(&mut [0; 9]).await.expect("read"), 0, "this side is shut");
-        assert!(!site.book.guard().all_closed(), "the node has not closed yet");
+        assert!(!site.book.guard().all_connections_closed(), "the node has not closed yet");
         drop(stream);
-        until(|| site.book.guard().all_closed()).await;
+        until(|| site.book.guard().all_connections_closed()).await;
     });
 }
 
@@ -214,7 +214,7 @@
         let next = site.ask("norte", Duration::from_millis(30));
         assert!(matches!(next.await, End::NotTried), "the node still has it");
         drop(stream);
-        until(|| site.book.guard().all_closed()).await;
+        until(|| site.book.guard().all_connections_closed()).await;
     });
 }
 
@@ -227,7 +227,7 @@
     drop(gone);
     site.run(async {
         assert!(matches!(site.ask("norte", LONG).await, End::NotConnected));
-        until(|| site.book.guard().all_closed()).await;
+        until(|| site.book.guard().all_connections_closed()).await;
     });
 }
 
--- a/crates/storage/src/sim.rs
+++ b/crates/storage/src/sim.rs
@@ -110,7 +110,7 @@
     }
 
     /// Sets the faults to inject; calls are counted anew.
-    pub fn set_plan(&mut self, plan: FaultPlan) {
+    pub fn set_fault_plan(&mut self, plan: FaultPlan) {
         (self.plan, self.calls) = (plan, 0);
     }
 
@@ -167,7 +167,7 @@
 
     /// Flips one bit of a file, in what is durable too.
     pub fn flip_bit(&mut self, name: &str, bit: usize) {
-        self.edit_behind_back(name, |bytes| {
+        self.modify_file_directly(name, |bytes| {
             if let Some(byte) = bytes.get_mut(bit / 8) {
                 *byte ^= 1 << (bit % 8);
             }
@@ -175,7 +175,7 @@
     }
 
     /// Changes a file's bytes without a call.
-    pub fn edit_behind_back(&mut self, name: &str, change: impl Fn(&mut Vec<u8>)) {
+    pub fn modify_file_directly(&mut self, name: &str, change: impl Fn(&mut Vec<u8>)) {
         if let Some(file) = self.names.get(name).and_then(|k| self.files.get_mut(*k)) {
             change(&mut file.visible);
             change(&mut file.durable);
@@ -183,7 +183,7 @@
     }
 
     /// Removes a file without a call.
-    pub fn remove_behind_back(&mut self, name: &str) {
+    pub fn remove_file_directly(&mut self, name: &str) {
         self.names.remove(name);
         self.durable_names.remove(name);
     }
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -34,13 +34,13 @@
 #[test]
 fn what_was_told_as_durable_is_there_after_a_crash_at_any_call() {
     let mut disk = SimDisk::new(1);
-    disk.set_plan(FaultPlan::default());
+    disk.set_fault_plan(FaultPlan::default());
     let calls = work(disk).0.mutating_calls();
     assert!(calls > 20, "the walk through all calls saw only {calls}");
     for crash in 1..=calls {
         for seed in 0..4 {
             let mut disk = SimDisk::new(seed * 1000 + crash);
-            disk.set_plan(FaultPlan { crash_at_call: crash, ..FaultPlan::default() });
+            disk.set_fault_plan(FaultPlan { crash_at_call: crash, ..FaultPlan::default() });
             let (mut disk, told) = work(disk);
             disk.restart();
             let there = highest(disk).expect("a crash is no damage");
@@ -54,7 +54,7 @@
     let mut lost = 0;
     for crash in 6..30 {
         let mut disk = SimDisk::new(crash);
-        disk.set_plan(FaultPlan { crash_at_call: crash, ignore_syncs: true, ..FaultPlan::default() });
+        disk.set_fault_plan(FaultPlan { crash_at_call: crash, ignore_syncs: true, ..FaultPlan::default() });
         let (mut disk, told) = work(disk);
         disk.restart();
         lost += usize::from(highest(disk).map_or(true, |there| there < told));
@@ -66,7 +66,7 @@
 fn a_failed_sync_is_told_and_what_it_dropped_was_told_to_nobody() {
     for bad_sync in 1..40 {
         let mut disk = SimDisk::new(9);
-        disk.set_plan(FaultPlan { failed_sync_at_call: bad_sync, ..FaultPlan::default() });
+        disk.set_fault_plan(FaultPlan { failed_sync_at_call: bad_sync, ..FaultPlan::default() });
         let (mut disk, told) = work(disk);
         disk.reopen();
         // What reads show may be on no disk: opening writes it anew, so a loss of power right after loses nothing.
@@ -81,7 +81,7 @@
 fn a_full_disk_is_an_error_and_loses_nothing() {
     for full in 1..40 {
         let mut disk = SimDisk::new(4);
-        disk.set_plan(FaultPlan { full_from_call: full, full_for_calls: 100, ..FaultPlan::default() });
+        disk.set_fault_plan(FaultPlan { full_from_call: full, full_for_calls: 100, ..FaultPlan::default() });
         let (mut disk, told) = work(disk);
         disk.reopen();
         assert!(highest(disk).expect("no damage") >= told, "full from call {full}");
