--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! A folder on disk.
+//! [`Storage`] in a folder on disk, which one process at a time can open for writing.
 
 use crate::Storage;
 use rustix::fs::FlockOperation;
@@ -9,47 +9,48 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The file whose lock shows that the folder is in use.
+/// Name of the file whose lock a process holds while it uses the folder; it contains the id of that process.
 const LOCK_FILE: &str = "lock";
 
 /// Why a folder cannot be opened for exclusive use.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// It cannot be created, read or written.
-    #[error("{}: {source}", folder.display())]
+    /// The folder cannot be created, or its lock file cannot be opened or written.
+    #[error("cannot create or lock the folder {}: {source}", folder.display())]
     Io {
         /// The folder.
         folder: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Another process holds its lock.
-    #[error("{}: is in use by process {process}", folder.display())]
+    /// Another process holds the lock of the folder.
+    #[error("the folder {} is in use by process {process}", folder.display())]
     InUse {
         /// The folder.
         folder: PathBuf,
-        /// The identifier of that process, as it wrote it.
+        /// The id of that process, as it wrote it to the lock file; empty if the file cannot be read.
         process: String,
     },
 }
 
-/// A folder on disk.
+/// A folder on disk, locked while the value lives if it was opened by [`Disk::open_exclusive`].
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
-    open: BTreeMap<String, File>,
+    /// Files opened for writing, by name; they stay open until they are removed.
+    open_files: BTreeMap<String, File>,
     _lock: Option<File>,
     sync_delay: Duration,
 }
 
 impl Disk {
-    /// Opens a folder for this process alone, creating it if there is none.
+    /// Opens a folder for this process alone and locks it; creates the folder if it does not exist.
     ///
     /// # Errors
-    /// It cannot be created or locked, or another process uses it.
+    /// The folder cannot be created or locked, or another process holds its lock.
     pub fn open_exclusive(folder: &Path) -> Result<Disk, DiskError> {
-        let fail = |source: io::Error| DiskError::Io { folder: folder.to_path_buf(), source };
-        std::fs::create_dir_all(folder).map_err(fail)?;
+        let io_error = |source: io::Error| DiskError::Io { folder: folder.to_path_buf(), source };
+        std::fs::create_dir_all(folder).map_err(io_error)?;
         let path = folder.join(LOCK_FILE);
         let lock = OpenOptions::new()
             .create(true)
@@ -57,34 +58,40 @@
             .read(true)
             .write(true)
             .open(&path)
-            .map_err(fail)?;
+            .map_err(io_error)?;
         if rustix::fs::flock(&lock, FlockOperation::NonBlockingLockExclusive).is_err() {
-            let holder = std::fs::read_to_string(path).unwrap_or_default();
-            let process = holder.trim().to_owned();
+            let lock_file = std::fs::read_to_string(path).unwrap_or_default();
+            let process = lock_file.trim().to_owned();
             return Err(DiskError::InUse { folder: folder.to_path_buf(), process });
         }
-        lock.set_len(0).map_err(fail)?;
-        lock.write_all_at(format!("{}\n", std::process::id()).as_bytes(), 0).map_err(fail)?;
+        lock.set_len(0).map_err(io_error)?;
+        lock.write_all_at(format!("{}\n", std::process::id()).as_bytes(), 0).map_err(io_error)?;
         Ok(Disk { _lock: Some(lock), ..Disk::open_read_only(folder) })
     }
 
-    /// The same folder, each sync taking so much longer: a slower disk, for measurements.
+    /// Adds a delay to each sync of a file, to measure with a slower disk.
     #[must_use]
     pub fn with_sync_delay(self, sync_delay: Duration) -> Disk {
         Disk { sync_delay, ..self }
     }
 
-    /// Opens a folder for reading, even if another process uses it.
+    /// Opens a folder for reading, without locking it: another process may be writing to it.
     pub fn open_read_only(folder: &Path) -> Disk {
-        Disk { folder: folder.to_path_buf(), open: BTreeMap::new(), _lock: None, sync_delay: Duration::ZERO }
+        Disk {
+            folder: folder.to_path_buf(),
+            open_files: BTreeMap::new(),
+            _lock: None,
+            sync_delay: Duration::ZERO,
+        }
     }
 
+    /// An existing file, opened for writing unless it is open already.
     fn file(&mut self, name: &str) -> io::Result<&File> {
-        if !self.open.contains_key(name) {
+        if !self.open_files.contains_key(name) {
             let file = OpenOptions::new().read(true).write(true).open(self.folder.join(name))?;
-            self.open.insert(name.to_owned(), file);
+            self.open_files.insert(name.to_owned(), file);
         }
-        self.open.get(name).ok_or_else(|| ErrorKind::NotFound.into())
+        self.open_files.get(name).ok_or_else(|| ErrorKind::NotFound.into())
     }
 }
 
@@ -102,7 +109,7 @@
     }
 
     fn read_at(&self, name: &str, at: u64, buf: &mut [u8]) -> io::Result<usize> {
-        match self.open.get(name) {
+        match self.open_files.get(name) {
             Some(file) => file.read_at(buf, at),
             None => File::open(self.folder.join(name))?.read_at(buf, at),
         }
@@ -111,7 +118,7 @@
     fn create(&mut self, name: &str) -> io::Result<()> {
         let path = self.folder.join(name);
         let file = OpenOptions::new().read(true).write(true).create_new(true).open(path)?;
-        self.open.insert(name.to_owned(), file);
+        self.open_files.insert(name.to_owned(), file);
         Ok(())
     }
 
@@ -137,14 +144,14 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         std::fs::rename(self.folder.join(from), self.folder.join(to))?;
-        if let Some(file) = self.open.remove(from) {
-            self.open.insert(to.to_owned(), file);
+        if let Some(file) = self.open_files.remove(from) {
+            self.open_files.insert(to.to_owned(), file);
         }
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         std::fs::remove_file(self.folder.join(name))
     }
 
--- a/crates/storage/src/sim.rs
+++ b/crates/storage/src/sim.rs
@@ -1,7 +1,8 @@
-//! A simulated disk in memory that fails on purpose, for tests of what is built on [`Storage`].
+//! A simulated disk in memory with injected faults, for tests of code that uses [`Storage`].
 //!
-//! It keeps what is durable apart from what is merely written. A crash keeps any part of the rest: sectors of
-//! unsynced writes each by itself, so torn and out of order; names of files created, renamed or removed, each by itself.
+//! It keeps what is durable apart from what has only been written. Of what is not durable, a crash keeps a random part:
+//! each sector of an unsynced write is kept or lost on its own, so writes may be torn or out of order, and so is each
+//! creation, renaming and removal of a file.
 
 use crate::Storage;
 use rand::{RngExt, SeedableRng};
@@ -9,21 +10,21 @@
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-/// Bytes that are written atomically.
+/// Size of a sector, bytes. A crash keeps a sector of a write whole or loses it whole.
 const SECTOR_BYTES: usize = 512;
 
-/// Faults to inject, by the number of the mutating call, counted from 1; 0: never.
+/// Faults to inject, each at the call with this number. Only mutating calls are counted, from 1; 0 means never.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultPlan {
-    /// Power is lost in the middle of this call; all later calls fail.
+    /// Power is lost during this call; it and all later mutating calls fail.
     pub crash_at_call: u64,
-    /// This call, if it is a sync, fails, and what it should have made durable is lost.
+    /// This call fails if it is a sync. If it syncs a file, the changes that it should have made durable are lost.
     pub failed_sync_at_call: u64,
-    /// From this call on the disk is full...
+    /// The first call for which the disk is full.
     pub full_from_call: u64,
-    /// ...for so many calls.
+    /// The number of calls for which the disk stays full.
     pub full_for_calls: u64,
-    /// Syncs return success and do nothing: an injected bug.
+    /// Syncs return success without making anything durable: an injected bug.
     pub ignore_syncs: bool,
 }
 
@@ -48,17 +49,17 @@
         }
     }
 
-    /// The parts of it that become durable each by itself.
-    fn sectors(self) -> Vec<Change> {
+    /// Splits the change into parts that a crash keeps or loses independently.
+    fn split_into_sectors(self) -> Vec<Change> {
         let Change::Write { at, bytes } = self else { return vec![self] };
         let mut sectors = vec![];
-        let mut from = 0;
-        while from < bytes.len() {
-            // Sectors are aligned.
-            let place = at + from;
-            let to = (from + SECTOR_BYTES - place % SECTOR_BYTES).min(bytes.len());
-            sectors.push(Change::Write { at: place, bytes: bytes[from..to].to_vec() });
-            from = to;
+        let mut start = 0;
+        while start < bytes.len() {
+            // Sector boundaries are at multiples of the sector size within the file.
+            let file_offset = at + start;
+            let end = (start + SECTOR_BYTES - file_offset % SECTOR_BYTES).min(bytes.len());
+            sectors.push(Change::Write { at: file_offset, bytes: bytes[start..end].to_vec() });
+            start = end;
         }
         sectors
     }
@@ -66,69 +67,77 @@
 
 #[derive(Clone, Debug, Default)]
 struct FileState {
-    /// What reads return.
+    /// The contents that reads return.
     visible: Vec<u8>,
-    /// What a crash keeps for certain.
+    /// The contents that a crash certainly keeps.
     durable: Vec<u8>,
     /// Changes since the last sync.
     unsynced: Vec<Change>,
 }
 
+/// A change of the folder's names that is not durable yet.
 #[derive(Clone, Debug)]
 enum NameChange {
+    /// Name and index of the file.
     Created(String, usize),
+    /// Old and new name.
     Renamed(String, String),
     Removed(String),
 }
 
-/// A simulated disk.
+/// A simulated disk with one folder of files.
 #[derive(Clone, Debug)]
 pub struct SimDisk {
     files: Vec<FileState>,
+    /// Indices into `files`, by the names that calls see.
     names: BTreeMap<String, usize>,
+    /// Indices into `files`, by the names that a crash certainly keeps.
     durable_names: BTreeMap<String, usize>,
+    /// Changes of names since the last sync of the folder.
     unsynced_names: Vec<NameChange>,
-    plan: FaultPlan,
+    fault_plan: FaultPlan,
+    /// Mutating calls since the fault plan was set.
     calls: u64,
     rng: ChaCha8Rng,
     is_powered_off: bool,
 }
 
 impl SimDisk {
-    /// An empty disk.
+    /// An empty disk; `seed` determines what its crashes keep.
     pub fn new(seed: u64) -> SimDisk {
         SimDisk {
             files: vec![],
             names: BTreeMap::new(),
             durable_names: BTreeMap::new(),
             unsynced_names: vec![],
-            plan: FaultPlan::default(),
+            fault_plan: FaultPlan::default(),
             calls: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             is_powered_off: false,
         }
     }
 
-    /// Sets the faults to inject; calls are counted anew.
+    /// Sets the faults to inject, and restarts the count of mutating calls at 0.
     pub fn set_fault_plan(&mut self, plan: FaultPlan) {
-        (self.plan, self.calls) = (plan, 0);
+        (self.fault_plan, self.calls) = (plan, 0);
     }
 
-    /// Mutating calls so far.
+    /// Number of mutating calls since the fault plan was last set or reset.
     pub fn mutating_calls(&self) -> u64 {
         self.calls
     }
 
-    /// Whether power has been lost.
+    /// Whether power has been lost and not restored.
     pub fn has_crashed(&self) -> bool {
         self.is_powered_off
     }
 
-    /// Power is lost, if it was not, and returns: of what was not durable, any part is there.
+    /// Simulates a loss of power and the restart after it: of what was not durable, a random part is kept. Resets the
+    /// fault plan.
     pub fn restart(&mut self) {
         for file in &mut self.files {
             for change in std::mem::take(&mut file.unsynced) {
-                for part in change.sectors() {
+                for part in change.split_into_sectors() {
                     if self.rng.random::<bool>() {
                         part.apply(&mut file.durable);
                     }
@@ -160,12 +169,13 @@
         self.names = names;
     }
 
-    /// The process ends and starts again; the machine keeps running, so what reads return stays.
+    /// Simulates a restart of the process only: the machine keeps running, so reads return the same as before. Resets the
+    /// fault plan.
     pub fn reopen(&mut self) {
-        (self.is_powered_off, self.plan, self.calls) = (false, FaultPlan::default(), 0);
+        (self.is_powered_off, self.fault_plan, self.calls) = (false, FaultPlan::default(), 0);
     }
 
-    /// Flips one bit of a file, in what is durable too.
+    /// Flips one bit of a file, in its visible and its durable contents.
     pub fn flip_bit(&mut self, name: &str, bit: usize) {
         self.modify_file_directly(name, |bytes| {
             if let Some(byte) = bytes.get_mut(bit / 8) {
@@ -174,67 +184,74 @@
         });
     }
 
-    /// Changes a file's bytes without a call.
+    /// Changes a file's visible and durable contents without a [`Storage`] call, as damage to the disk would.
     pub fn modify_file_directly(&mut self, name: &str, change: impl Fn(&mut Vec<u8>)) {
-        if let Some(file) = self.names.get(name).and_then(|k| self.files.get_mut(*k)) {
+        if let Some(file) = self.names.get(name).and_then(|index| self.files.get_mut(*index)) {
             change(&mut file.visible);
             change(&mut file.durable);
         }
     }
 
-    /// Removes a file without a call.
+    /// Removes a file, durably, without a [`Storage`] call.
     pub fn remove_file_directly(&mut self, name: &str) {
         self.names.remove(name);
         self.durable_names.remove(name);
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut FileState> {
-        let k = self.names.get(name).copied().ok_or(ErrorKind::NotFound)?;
-        self.files.get_mut(k).ok_or_else(|| ErrorKind::NotFound.into())
+        let index = self.names.get(name).copied().ok_or(ErrorKind::NotFound)?;
+        self.files.get_mut(index).ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    /// Counts a mutating call; returns whether power is lost in it.
+    /// Counts a mutating call and returns whether power is lost during it; an error if power was lost before.
     fn count_call(&mut self) -> io::Result<bool> {
         if self.is_powered_off {
-            return Err(io::Error::other("the power is off"));
+            return Err(power_loss_error());
         }
         self.calls += 1;
-        self.is_powered_off = self.calls == self.plan.crash_at_call;
+        self.is_powered_off = self.calls == self.fault_plan.crash_at_call;
         Ok(self.is_powered_off)
     }
 
     fn unless_powered_off<T>(&self, value: T) -> io::Result<T> {
         if self.is_powered_off {
-            Err(io::Error::other("the power is off"))
+            Err(power_loss_error())
         } else {
             Ok(value)
         }
     }
 
     fn is_full(&self) -> bool {
-        self.plan.full_from_call > 0
-            && (self.plan.full_from_call..self.plan.full_from_call + self.plan.full_for_calls)
-                .contains(&self.calls)
+        let FaultPlan { full_from_call, full_for_calls, .. } = self.fault_plan;
+        full_from_call > 0 && (full_from_call..full_from_call + full_for_calls).contains(&self.calls)
     }
 }
 
+fn power_loss_error() -> io::Error {
+    io::Error::other("the simulated disk has lost power")
+}
+
+fn failed_sync_error() -> io::Error {
+    io::Error::other("injected sync failure on the simulated disk")
+}
+
 impl Storage for SimDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.names.keys().cloned().collect())
     }
 
     fn read_at(&self, name: &str, at: u64, buf: &mut [u8]) -> io::Result<usize> {
-        let k = self.names.get(name).ok_or(ErrorKind::NotFound)?;
-        let file = self.files.get(*k).ok_or(ErrorKind::NotFound)?;
+        let index = self.names.get(name).ok_or(ErrorKind::NotFound)?;
+        let file = self.files.get(*index).ok_or(ErrorKind::NotFound)?;
         let rest = file.visible.get(at as usize..).unwrap_or_default();
-        // Reads are short as often as not.
-        let n = rest.len().min(buf.len()).min(1 + (at as usize * 7 + 100) % 700);
-        buf[..n].copy_from_slice(&rest[..n]);
-        Ok(n)
+        // Reads return at most 700 bytes, by an arbitrary function of the offset, so that callers meet short reads.
+        let read_len = rest.len().min(buf.len()).min(1 + (at as usize * 7 + 100) % 700);
+        buf[..read_len].copy_from_slice(&rest[..read_len]);
+        Ok(read_len)
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let dies = self.count_call()?;
+        let power_lost = self.count_call()?;
         if self.is_full() {
             return Err(ErrorKind::StorageFull.into());
         }
@@ -242,19 +259,21 @@
             return Err(ErrorKind::AlreadyExists.into());
         }
         self.files.push(FileState::default());
-        let k = self.files.len() - 1;
-        if !dies || self.rng.random::<bool>() {
-            self.names.insert(name.to_owned(), k);
-            self.unsynced_names.push(NameChange::Created(name.to_owned(), k));
+        let index = self.files.len() - 1;
+        if !power_lost || self.rng.random::<bool>() {
+            self.names.insert(name.to_owned(), index);
+            self.unsynced_names.push(NameChange::Created(name.to_owned(), index));
         }
         self.unless_powered_off(())
     }
 
     fn write_at(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()> {
-        let dies = self.count_call()?;
+        let power_lost = self.count_call()?;
+        // On a full disk a write within the file's present length still succeeds.
         let full = self.is_full() && self.file(name)?.visible.len() < at as usize + bytes.len();
-        let part = if dies || full { self.rng.random_range(0..=bytes.len()) } else { bytes.len() };
-        let bytes = bytes[..part].to_vec();
+        let written_len =
+            if power_lost || full { self.rng.random_range(0..=bytes.len()) } else { bytes.len() };
+        let bytes = bytes[..written_len].to_vec();
         let file = self.file(name)?;
         let change = Change::Write { at: at as usize, bytes };
         change.apply(&mut file.visible);
@@ -275,16 +294,19 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let (dies, lies) = (self.count_call()?, self.plan.ignore_syncs);
-        let bad = self.calls == self.plan.failed_sync_at_call;
+        let power_lost = self.count_call()?;
+        let ignored = self.fault_plan.ignore_syncs;
+        let fails = self.calls == self.fault_plan.failed_sync_at_call;
         let file = self.file(name)?;
-        if bad {
-            // As some systems do it: the pages are dropped from those to be written, and still read well.
+        if fails {
+            // Some operating systems mark the pages of a failed sync as clean: they are never written, but reads still
+            // return them.
             file.unsynced.clear();
-            return Err(io::Error::other("input/output error"));
+            return Err(failed_sync_error());
         }
-        if !dies && !lies {
-            // Not what reads show: what a failed sync dropped stays dropped, whatever a later one says.
+        if !power_lost && !ignored {
+            // The pending changes are applied instead of copying the visible contents, because changes that a failed sync
+            // dropped stay lost although a later sync succeeds.
             for change in std::mem::take(&mut file.unsynced) {
                 change.apply(&mut file.durable);
             }
@@ -293,11 +315,12 @@
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        let (dies, lies) = (self.count_call()?, self.plan.ignore_syncs);
-        if self.calls == self.plan.failed_sync_at_call {
-            return Err(io::Error::other("input/output error"));
+        let power_lost = self.count_call()?;
+        let ignored = self.fault_plan.ignore_syncs;
+        if self.calls == self.fault_plan.failed_sync_at_call {
+            return Err(failed_sync_error());
         }
-        if !dies && !lies {
+        if !power_lost && !ignored {
             self.durable_names = self.names.clone();
             self.unsynced_names.clear();
         }
@@ -305,18 +328,18 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let dies = self.count_call()?;
-        if !dies || self.rng.random::<bool>() {
-            let k = self.names.remove(from).ok_or(ErrorKind::NotFound)?;
-            self.names.insert(to.to_owned(), k);
+        let power_lost = self.count_call()?;
+        if !power_lost || self.rng.random::<bool>() {
+            let index = self.names.remove(from).ok_or(ErrorKind::NotFound)?;
+            self.names.insert(to.to_owned(), index);
             self.unsynced_names.push(NameChange::Renamed(from.to_owned(), to.to_owned()));
         }
         self.unless_powered_off(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let dies = self.count_call()?;
-        if !dies || self.rng.random::<bool>() {
+        let power_lost = self.count_call()?;
+        if !power_lost || self.rng.random::<bool>() {
             self.names.remove(name).ok_or(ErrorKind::NotFound)?;
             self.unsynced_names.push(NameChange::Removed(name.to_owned()));
         }
@@ -324,6 +347,6 @@
     }
 
     fn location(&self) -> String {
-        "a disk in memory".into()
+        "simulated disk".into()
     }
 }
