--- a/crates/fleet-agent/src/attempt_guard/mod.rs
+++ b/crates/fleet-agent/src/attempt_guard/mod.rs
@@ -1,8 +1,8 @@
-//! The check before each attempt: whether the fleet's rules let it go, now and from this gateway. Free of I/O.
+//! The check of each attempt: whether the fleet's rules allow this gateway to send it now. Does no I/O.
 //!
-//! Whoever runs the follower publishes what it acts under as a [`RulesView`]; the tasks that send requests check it
-//! right before the bytes go. A lease that has expired meanwhile is over for them too, whatever the follower's task is
-//! doing: then the fallback rules hold.
+//! The task that runs the follower publishes the rules in effect as a [`RulesView`]. The tasks that send requests check
+//! them right before the bytes are sent. They also notice on their own when the lease has expired, even while the
+//! follower's task is blocked; the fallback rules are in effect from then on.
 
 mod connections;
 mod probing;
@@ -17,11 +17,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Checks the attempts of one gateway.
+/// Checks the requests and attempts of one gateway.
 #[derive(Debug, Default)]
 pub struct AttemptGuard {
     view: Arc<RulesView>,
-    /// How long a server's own report counts, microseconds.
+    /// Under the fallback rules, how long a server's report is valid from its request, microseconds.
     confirmation_validity: Micros,
     confirmations: HealthConfirmations,
     quota: QuotaBuckets,
@@ -29,49 +29,50 @@
 }
 
 impl AttemptGuard {
-    /// A guard without rules yet: nothing goes. A server's own report counts for `confirmation_validity` microseconds.
+    /// Creates a guard that rejects everything until a view is set. Under the fallback rules, a server's report is valid
+    /// for `confirmation_validity` microseconds from its request.
     pub fn new(confirmation_validity: Micros) -> AttemptGuard {
         AttemptGuard { confirmation_validity, ..AttemptGuard::default() }
     }
 
-    /// Publishes what the follower acts under. To be called before the follower's messages about it are sent: replicas
-    /// rely on it.
+    /// Sets the rules and permits in effect. This must be called before the follower's messages that acknowledge them are
+    /// sent, because the replicas rely on those messages.
     pub fn set_view(&mut self, view: Arc<RulesView>) {
         self.quota.retain(|tenant| view.contains_tenant(tenant));
         self.permits.set_grants(view.permits.clone());
         self.view = view;
     }
 
-    /// What was published last.
+    /// The view that was set last.
     pub fn view(&self) -> &Arc<RulesView> {
         &self.view
     }
 
-    /// Servers that may get new work now: name and address.
+    /// Names and addresses of the servers that may get new work now.
     pub fn eligible_servers(&self, now: Micros) -> impl Iterator<Item = (&str, &str)> {
-        let required = self.required_confirmation(now);
+        let max_age = self.max_confirmation_age(now);
         let servers = self.view.rules(now).effective.servers.iter();
         servers.map(|(name, address)| (name.as_str(), address.as_str())).filter(move |(name, address)| {
-            self.confirmations.allow_new_work(address, now, required) && self.has_permits_at(now, name)
+            self.confirmations.allow_new_work(address, now, max_age) && self.has_permits_at(now, name)
         })
     }
 
-    /// Whether a server needs no permits, or this gateway has some there: one without gets nothing from here.
+    /// Whether a server needs no permits or this gateway has permits for it.
     fn has_permits_at(&self, now: Micros, server: &str) -> bool {
         let is_budgeted = self.view.rules(now).effective.budgeted.contains_key(server);
         !is_budgeted || self.permits.max_open(now, &BudgetScope::server(server)) > 0
     }
 
-    /// How recent a server's own report must be, where the rules require one.
-    fn required_confirmation(&self, now: Micros) -> Option<Micros> {
+    /// The maximum age of a server's report; none: the rules in effect require no report.
+    fn max_confirmation_age(&self, now: Micros) -> Option<Micros> {
         self.view.rules(now).effective.confirmed_only.then_some(self.confirmation_validity)
     }
 
-    /// Whether a tenant's request of a class may come in, and is covered by its quota share. Nothing is taken from the
-    /// share: [`AttemptGuard::authorize`] does that, for each attempt.
+    /// Checks whether the rules allow a tenant's request of a class, and whether the tenant's quota share covers it. The
+    /// share is not charged here but for each attempt, by [`AttemptGuard::authorize`].
     ///
     /// # Errors
-    /// Why not.
+    /// Why the request is rejected.
     pub fn admit(&mut self, now: Micros, tenant: &str, class: &str) -> Result<(), AttemptRejection> {
         self.check_rules(now, tenant, class)?;
         let charge = self.charge(now, tenant, class);
@@ -98,11 +99,11 @@
         }
     }
 
-    /// The check of an attempt right before its bytes go: takes its cost off the tenant's share, and returns what it
-    /// goes under.
+    /// Checks an attempt right before its bytes are sent and charges its cost to the tenant's share. Returns the source of
+    /// the rules that allow it.
     ///
     /// # Errors
-    /// Why it must not go: it has not run.
+    /// Why the attempt must not be sent; nothing is charged then.
     pub fn authorize(
         &mut self,
         now: Micros,
@@ -112,14 +113,15 @@
     ) -> Result<RuleSource, AttemptRejection> {
         let source = self.reauthorize(now, tenant, class, server)?;
         let charge = self.charge(now, tenant, class);
-        self.quota.take(now, tenant, charge).map_err(AttemptRejection::QuotaExhausted)?;
+        self.quota.charge(now, tenant, charge).map_err(AttemptRejection::QuotaExhausted)?;
         Ok(source)
     }
 
-    /// The same for an attempt that was charged already and whose bytes go a second time: nothing of the first ran.
+    /// The same check without a charge, for an attempt that was charged before and is sent again because the server
+    /// executed nothing of it the first time.
     ///
     /// # Errors
-    /// Why it must not go.
+    /// Why the attempt must not be sent.
     pub fn reauthorize(
         &self,
         now: Micros,
@@ -128,16 +130,17 @@
         server: SocketAddr,
     ) -> Result<RuleSource, AttemptRejection> {
         self.check_rules(now, tenant, class)?;
-        let required = self.required_confirmation(now);
+        let max_age = self.max_confirmation_age(now);
         let (source, rules) = self.view.at(now);
         let address = rules.server_names.get(&server).and_then(|name| rules.effective.servers.get(name));
-        if !address.is_some_and(|address| self.confirmations.allow_new_work(address, now, required)) {
+        if !address.is_some_and(|address| self.confirmations.allow_new_work(address, now, max_age)) {
             return Err(AttemptRejection::ServerUnavailable);
         }
         Ok(source)
     }
 
-    /// What an attempt at a server, by name, goes under; none: it must not go. Without a check of the quota.
+    /// The source of the rules that allow an attempt at the server with this name; none: they do not allow it. The quota
+    /// is not checked.
     pub fn rule_source_for(
         &self,
         now: Micros,
@@ -146,9 +149,9 @@
         server: &str,
     ) -> Option<RuleSource> {
         self.check_rules(now, tenant, class).ok()?;
-        let required = self.required_confirmation(now);
+        let max_age = self.max_confirmation_age(now);
         let (source, rules) = self.view.at(now);
         let address = rules.effective.servers.get(server)?;
-        self.confirmations.allow_new_work(address, now, required).then_some(source)
+        self.confirmations.allow_new_work(address, now, max_age).then_some(source)
     }
 }
--- a/crates/fleet-agent/src/attempt_guard/probing.rs
+++ b/crates/fleet-agent/src/attempt_guard/probing.rs
@@ -1,19 +1,20 @@
-//! Which servers to ask for their own report, and what they reported.
+//! The guard's part for health confirmations: which servers to probe, and what they reported.
 
 use super::AttemptGuard;
 use frostgauge_connection_budget::BudgetScope;
 use frostgauge_consensus::{GatewayId, Micros};
 use std::net::SocketAddr;
 
-/// A probed server that has not reported ready within so many validity times gives its place to the next.
+/// A probed server that does not report that it takes new work is replaced by the next candidate for this many times the
+/// validity of a report.
 const UNRESPONSIVE_VALIDITIES: Micros = 4;
-/// A server is probed so many times within the time that its report counts.
+/// Probes of a server within the validity of one report.
 const PROBES_PER_VALIDITY: Micros = 3;
 
 impl AttemptGuard {
-    /// Without a lease, or within `ahead` microseconds of its end: addresses of servers to probe now. At most
-    /// `max_servers`, ranked by a hash with the gateway's id, so that a whole fleet without leases does not probe every
-    /// server.
+    /// Addresses of the servers to probe now; none while the lease is valid for more than `ahead` microseconds. A gateway
+    /// probes at most `max_servers` servers, the first in an order given by a hash of its id and their addresses, so that
+    /// a fleet without leases does not probe every server from every gateway.
     pub fn servers_to_probe(
         &self,
         now: Micros,
@@ -31,7 +32,7 @@
         let window = UNRESPONSIVE_VALIDITIES * self.confirmation_validity;
         let interval = self.confirmation_validity / PROBES_PER_VALIDITY;
         let candidates = ranked.into_iter().map(|(_, address)| address).filter(|address| {
-            !self.confirmations.is_unresponsive(address, now, window) && self.usable_on_fallback(address)
+            !self.confirmations.is_unresponsive(address, now, window) && self.is_usable_on_fallback(address)
         });
         candidates
             .take(max_servers)
@@ -40,8 +41,9 @@
             .collect()
     }
 
-    /// Whether this gateway may use a server without a lease: one with a budget only if it has permits of its own there.
-    fn usable_on_fallback(&self, address: &str) -> bool {
+    /// Whether this gateway may use a server without a lease: a server with a budget only if the gateway has fallback
+    /// permits for it.
+    fn is_usable_on_fallback(&self, address: &str) -> bool {
         let rules = &self.view.fallback_rules;
         let name = address.parse().ok().and_then(|address: SocketAddr| rules.server_names.get(&address));
         name.is_none_or(|name| {
@@ -50,20 +52,21 @@
         })
     }
 
-    /// Records that the server at an address is probed.
+    /// Records that a probe is sent to the server at an address.
     pub fn record_probe(&mut self, address: &str, now: Micros) {
         self.confirmations.record_probe(address, now);
     }
 
-    /// Records what the server at an address reported, in response to a request sent at `requested_at`.
+    /// Records whether the server at an address reported that it takes new work, in the response to a request sent at
+    /// `requested_at`.
     pub fn record_report(&mut self, address: &str, requested_at: Micros, ready: bool) {
         self.confirmations.record_report(address, requested_at, ready);
     }
 }
 
-/// A pseudo-random rank for a pair, the same in each process.
+/// A pseudo-random rank of a server for a gateway, the same in each process of the gateway.
 fn rank(self_id: GatewayId, address: &str) -> u64 {
-    // FNV-1a, then mixed: an even spread is all that is needed.
+    // FNV-1a with a final mixing step; only an even distribution is needed.
     let hash = address.bytes().chain(self_id.to_be_bytes()).fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     });
--- a/crates/fleet-agent/src/budget_shares.rs
+++ b/crates/fleet-agent/src/budget_shares.rs
@@ -1,12 +1,12 @@
-//! Who may have how many connections, and by which rules, as JSON for operators. The keys are part of the admin
-//! interface.
+//! Shares of the connection budgets by tenant and gateway, and the rules behind them, as JSON for operators. The keys are
+//! part of the admin interface.
 
 use frostgauge_connection_budget::{BudgetScope, CompiledPolicy, TenantClass, Terms};
 use frostgauge_consensus::StateMachine;
 use serde_json::{json, Map, Value};
 
-/// By group: its servers, each share of a tenant with the rules that made its terms, and which gateway has what of it.
-/// None where there are no budgets.
+/// For each group: its servers, and for each tenant class its terms, the rules that set them and the permits of each
+/// gateway. None if the fallback version has no connection budgets.
 pub fn report(machine: &StateMachine) -> Option<Value> {
     let policy = machine.version(machine.fallback_version())?.rules.compiled_budgets()?;
     let groups: Map<String, Value> = (policy.policy().budgets.keys())
@@ -26,26 +26,27 @@
     let servers: Map<String, Value> =
         policy.servers(group).iter().map(|server| (server.clone(), server_report(server))).collect();
     let terms = policy.terms(group, machine.permits().active_conditions());
-    let holders: Vec<Value> =
-        terms.map(|(holder, terms)| holder_report(machine, policy, group, holder, &terms)).collect();
+    let holders: Vec<Value> = terms
+        .map(|(tenant_class, terms)| tenant_class_report(machine, policy, group, tenant_class, &terms))
+        .collect();
     json!({ "servers": servers, "holders": holders })
 }
 
-fn holder_report(
+fn tenant_class_report(
     machine: &StateMachine,
     policy: &CompiledPolicy,
     group: &str,
-    holder: &TenantClass,
+    tenant_class: &TenantClass,
     terms: &Terms,
 ) -> Value {
     let ledger = machine.permits().ledger();
-    let scope = BudgetScope::tenant(group, holder);
+    let scope = BudgetScope::tenant(group, tenant_class);
     let by_gateway: Map<String, Value> = ledger
         .permits_at(&scope)
         .map(|(gateway, permits)| (gateway.to_string(), json!(permits.target)))
         .collect();
     json!({
-        "tenant": holder.tenant, "class": holder.class, "held": ledger.held(&scope),
+        "tenant": tenant_class.tenant, "class": tenant_class.class, "held": ledger.held(&scope),
         "terms": terms_report(terms), "by": rules_of_terms(policy, terms), "gateways": by_gateway,
     })
 }
@@ -58,20 +59,20 @@
     })
 }
 
-/// The rule that made each of the terms; those that no rule made are left out.
+/// The name of the rule that set each term; terms that have their default are left out.
 fn rules_of_terms(policy: &CompiledPolicy, terms: &Terms) -> Value {
-    let made = &terms.sources;
-    let all = [
-        ("floor", made.floor),
-        ("ground", made.fallback),
-        ("weight", made.weight),
-        ("ceiling", made.ceiling),
-        ("give_up", made.shed_order),
-        ("lend", made.loan),
+    let sources = &terms.sources;
+    let rule_indices = [
+        ("floor", sources.floor),
+        ("ground", sources.fallback),
+        ("weight", sources.weight),
+        ("ceiling", sources.ceiling),
+        ("give_up", sources.shed_order),
+        ("lend", sources.loan),
     ];
-    let named = all.into_iter().filter_map(|(term, rule)| {
-        let rule = policy.policy().rules.get(rule?)?;
+    let rule_names = rule_indices.into_iter().filter_map(|(term, index)| {
+        let rule = policy.policy().rules.get(index?)?;
         Some((term.to_owned(), json!(rule.name)))
     });
-    Value::Object(named.collect())
+    Value::Object(rule_names.collect())
 }
--- a/crates/fleet-agent/src/health_confirmation.rs
+++ b/crates/fleet-agent/src/health_confirmation.rs
@@ -1,16 +1,17 @@
-//! Readiness as servers report it themselves.
+//! Health confirmations: reports of servers on whether they take new work.
 //!
-//! A server that drains says so in each of its responses, and that overrides any list. RuleSource fallback rules only
-//! servers that reported a short while ago that they take new work are used. The time counts from the request, so that
-//! a late response proves nothing that it did not see.
+//! A server that drains reports it in each of its responses, and that overrides the servers' states in the rules. While
+//! the fallback rules are in effect, only servers that recently reported that they take new work are used. The age of a
+//! report counts from when its request was sent, because the response may have been delayed and shows the server's state
+//! at no later time for certain.
 
 use frostgauge_consensus::Micros;
 use std::collections::BTreeMap;
 
-/// Servers tracked at most; the report requested longest ago is dropped first.
+/// Maximum number of servers whose reports are kept; beyond it, the report whose request is the oldest is dropped.
 pub const MAX_TRACKED_SERVERS: usize = 4_096;
 
-/// A probe may still be answered within this part of the response window (one in so many).
+/// A probed server is not yet considered unresponsive within the response window divided by this.
 const PROBE_GRACE_DIVISOR: Micros = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +20,7 @@
     ready: bool,
 }
 
-/// The latest report of each server, by address, and when each was last probed.
+/// The latest report of each server and the time of its last probe, by address.
 #[derive(Clone, Debug, Default)]
 pub struct HealthConfirmations {
     reports: BTreeMap<String, Report>,
@@ -27,7 +28,8 @@
 }
 
 impl HealthConfirmations {
-    /// Records a server's response to a request sent at `requested_at`.
+    /// Records a server's report in the response to a request sent at `requested_at`. It is ignored if a report with a
+    /// later request is known.
     pub fn record_report(&mut self, server: &str, requested_at: Micros, ready: bool) {
         if let Some(report) = self.reports.get_mut(server) {
             if report.requested_at <= requested_at {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Records that a server is probed.
+    /// Records that a probe is sent to a server.
     pub fn record_probe(&mut self, server: &str, now: Micros) {
         if self.probed_at.len() >= MAX_TRACKED_SERVERS && !self.probed_at.contains_key(server) {
             self.probed_at.clear();
@@ -56,31 +58,31 @@
         self.probed_at.insert(server.to_owned(), now);
     }
 
-    /// Whether a server has been neither probed nor heard from within `interval`.
+    /// Whether the last probe of a server, and the request of its last report, are at least `interval` ago.
     pub fn probe_is_due(&self, server: &str, now: Micros, interval: Micros) -> bool {
         let reported = self.reports.get(server).map(|report| &report.requested_at);
-        let last = self.probed_at.get(server).max(reported);
-        last.is_none_or(|at| now >= at + interval)
+        let latest = self.probed_at.get(server).max(reported);
+        latest.is_none_or(|at| now >= at + interval)
     }
 
-    /// Whether a server was probed within `window` and has not reported ready since. One that was probed a moment ago
-    /// may still respond.
+    /// Whether a server was probed within `window` and has not reported since that it takes new work. During the first
+    /// part of the window it is not considered unresponsive, because its response may still arrive.
     pub fn is_unresponsive(&self, server: &str, now: Micros, window: Micros) -> bool {
         let Some(probed_at) = self.probed_at.get(server).filter(|at| now < **at + window) else {
             return false;
         };
         let may_still_respond = now < probed_at + window / PROBE_GRACE_DIVISOR;
-        let confirmed = |report: &Report| report.ready && report.requested_at >= *probed_at;
-        !may_still_respond && !self.reports.get(server).is_some_and(confirmed)
+        let is_ready_since_probe = |report: &Report| report.ready && report.requested_at >= *probed_at;
+        !may_still_respond && !self.reports.get(server).is_some_and(is_ready_since_probe)
     }
 
-    /// Whether a server may get new work: never after it last reported that it drains. With `required_within` also only
-    /// if it reported ready within that time.
-    pub fn allow_new_work(&self, server: &str, now: Micros, required_within: Option<Micros>) -> bool {
-        match (self.reports.get(server), required_within) {
-            (Some(report), Some(within)) => report.ready && now <= report.requested_at + within,
+    /// Whether a server may get new work: not if its latest report is that it drains. With `max_age`, its latest report
+    /// must also be that it takes new work, and its request must have been sent at most so long ago.
+    pub fn allow_new_work(&self, server: &str, now: Micros, max_age: Option<Micros>) -> bool {
+        match (self.reports.get(server), max_age) {
+            (Some(report), Some(max_age)) => report.ready && now <= report.requested_at + max_age,
             (Some(report), None) => report.ready,
-            (None, required_within) => required_within.is_none(),
+            (None, max_age) => max_age.is_none(),
         }
     }
 }
--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -1,7 +1,7 @@
-//! The part of a gateway that keeps to the fleet's agreed rules.
+//! The fleet agent: the part of a gateway that obtains the rules agreed on by the fleet and checks requests against them.
 //!
-//! A [`Process`] holds the gateway's follower, and its replica if it is a voter; [`task`] runs one in a gateway. The
-//! [`AttemptGuard`] checks each attempt against the rules right before it is sent.
+//! A [`Process`] holds the gateway's follower, and its replica if the gateway is a voter; [`task`] runs a process on a
+//! thread of the gateway. The [`AttemptGuard`] checks each attempt against the rules right before it is sent.
 
 mod attempt_guard;
 pub mod budget_shares;
--- a/crates/fleet-agent/src/process.rs
+++ b/crates/fleet-agent/src/process.rs
@@ -1,8 +1,8 @@
-//! One process of the fleet: its follower, its replica if it is a voter, and what it may send to a server now.
+//! One process of the fleet: its follower, its replica if it is a voter, and its checks of requests.
 //!
-//! The same on sockets and in memory: bytes come in with the authenticated id of their sender, bytes go out through a
-//! [`Transport`], and time is passed in. When the disk of its replica fails, the replica is opened again from it; the
-//! follower serves on.
+//! The code is the same on sockets and in a simulation: received bytes are passed in with the authenticated id of their
+//! sender, bytes to send are passed to a [`Transport`], and the time is a parameter. If the disk of the replica fails, the
+//! replica is stopped and reopened later, while the follower keeps running.
 
 use crate::attempt_guard::AttemptGuard;
 use crate::canary::CanaryVerdict;
@@ -19,77 +19,80 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Journal with the version that the fallback rules come from; the name is part of the stored data.
+/// Name of the journal with the fallback version; it is part of the stored data.
 const FALLBACK_JOURNAL: &str = "stands";
-/// Messages that a process sends itself may bring more messages, so many times over.
+/// Rounds of storing and sending after each step. Messages that a process sends to itself are handled at once and may
+/// cause more messages, which are sent in the next round.
 const MAX_SEND_ROUNDS: usize = 8;
-/// Makes the follower's second seed another than its first.
+/// Derives the seed of the follower's random generator from the seed that is its incarnation.
 const FOLLOWER_SEED_MASK: u64 = 0x5eed;
 
-/// Carries bytes to other processes: at most once, in any order, or not at all.
+/// Carries messages to other processes, each at most once. They may arrive in any order or be lost.
 pub trait Transport {
-    /// Sends to a gateway; what does not fit is lost.
+    /// Sends a message to a gateway; it is lost if the transport's queue is full.
     fn send(&mut self, to: GatewayId, bytes: Vec<u8>);
 }
 
-/// What a process is started with.
+/// Configuration of a process.
 #[derive(Clone, Debug)]
 pub struct ProcessConfig {
-    /// Id of its gateway.
+    /// Id of the process's gateway.
     pub self_id: GatewayId,
-    /// The replicas that its settings name.
+    /// The gateways that the settings name as voters.
     pub replicas: BTreeSet<GatewayId>,
     /// Timeouts and intervals.
     pub timing: Timing,
-    /// Drawn anew at each start.
+    /// Drawn anew at each start: incarnation of the follower and seed of all random choices.
     pub random_seed: u64,
-    /// No earlier process of this gateway runs: shown by a lock that only an ended process leaves.
+    /// Whether no other process of this gateway is running. A lock on its folder, which is released only when the process
+    /// ends, shows that.
     pub exclusive: bool,
 }
 
-/// Leave to send a request, checked again right before the bytes go.
+/// Permission to send a request, which must be checked again right before its bytes are sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authorization {
-    /// What it was decided under.
+    /// The source of the rules that allowed the request.
     pub source: RuleSource,
-    /// The tenant.
+    /// Name of the request's tenant.
     pub tenant: String,
-    /// The class.
+    /// Name of the request's class.
     pub class: String,
-    /// The server.
+    /// Name of the server that the request is to be sent to.
     pub server: String,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal that this process sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProposalOutcome {
     /// Id of the proposal.
     pub proposal_id: u64,
-    /// What became of it.
+    /// The outcome that a replica reported.
     pub outcome: Outcome,
 }
 
-/// A process.
+/// A process of a gateway: see the module's description.
 pub struct Process<S> {
     config: ProcessConfig,
     follower: Follower,
     replica: ReplicaHost<S>,
-    /// None once it has failed: the process then acts on without storing.
+    /// None after a write to it failed: the process then keeps running without storing fallback versions.
     fallback_journal: Option<Journal<S>>,
     guard: AttemptGuard,
     view_cache: ViewCache,
+    /// Outcomes that [`Process::take_outcomes`] has not returned yet.
     outcomes: Vec<ProposalOutcome>,
     unreadable_messages: u64,
-    /// Budgeted servers at which no more connections are open than permitted.
+    /// The budgeted servers of the version to store, if no more connections are open at them than permitted.
     within_permits: BTreeMap<String, bool>,
 }
 
 impl<S: Storage> Process<S> {
-    /// Starts. `replica_storage`: the folder of its replica, if it is a voter; `fallback_storage`: where the follower
-    /// keeps the version that its fallback rules come from.
+    /// Starts a process. `replica_storage`: the folder of its replica, if it is a voter; `fallback_storage`: the folder in
+    /// which the follower's fallback version is stored.
     ///
     /// # Errors
-    /// A folder that is damaged, with file and place.
+    /// A folder cannot be read or written, or is damaged; the error contains the file name and offset.
     pub fn start(
         now: Micros,
         config: ProcessConfig,
@@ -97,16 +100,16 @@
         fallback_storage: S,
     ) -> Result<Process<S>, AgentError> {
         let opened = Journal::open(fallback_storage, FALLBACK_JOURNAL);
-        let (journal, found) = opened.map_err(|error| AgentError::FallbackStorage(error.to_string()))?;
-        let stored = found.frames.last().map(|bytes| Version::from_bytes(bytes)).transpose();
+        let (journal, contents) = opened.map_err(|error| AgentError::FallbackStorage(error.to_string()))?;
+        let stored = contents.frames.last().map(|bytes| Version::from_bytes(bytes)).transpose();
         let stored = stored.map_err(|error| {
             let reason = error.to_string();
             AgentError::FallbackVersion { journal: FALLBACK_JOURNAL, reason }
         })?;
         let ProcessConfig { self_id, timing, random_seed, .. } = config;
-        let second_seed = random_seed ^ FOLLOWER_SEED_MASK;
+        let follower_seed = random_seed ^ FOLLOWER_SEED_MASK;
         let replicas = config.replicas.clone();
-        let follower = Follower::new(now, self_id, random_seed, replicas, stored, timing, second_seed);
+        let follower = Follower::new(now, self_id, random_seed, replicas, stored, timing, follower_seed);
         let replica = ReplicaHost::open(now, &config, replica_storage).map_err(AgentError::Replica)?;
         Ok(Process {
             config,
@@ -121,47 +124,48 @@
         })
     }
 
-    /// Its follower.
+    /// The follower of this process.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    /// Its replica, if it is a voter and the replica runs.
+    /// The replica of this process, if it has one and it is running.
     pub fn replica(&self) -> Option<&Replica<S>> {
         self.replica.running()
     }
 
-    /// Messages that could not be read.
+    /// Number of received messages that could not be decoded.
     pub fn unreadable_messages(&self) -> u64 {
         self.unreadable_messages
     }
 
-    /// Times that its replica stopped for its disk.
+    /// Times that the replica was stopped because its disk failed.
     pub fn replica_stops(&self) -> u64 {
         self.replica.stops()
     }
 
-    /// What was found damaged in the replica's storage, if it could not be opened again.
+    /// Why the replica's storage could not be reopened after it failed, if that has happened.
     pub fn replica_damage(&self) -> Option<&str> {
         self.replica.damage()
     }
 
-    /// Takes what became of proposals that this process sent.
+    /// Returns the outcomes received since the last call, of proposals that this process sent.
     pub fn take_outcomes(&mut self) -> Vec<ProposalOutcome> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Ends it: storage of the replica, if it is a voter, and of the fallback version.
+    /// Ends the process and returns its storage: first that of the replica, if it has one that is not damaged, then that
+    /// of the fallback version, unless it has failed.
     pub fn into_storage(self) -> (Option<S>, Option<S>) {
         (self.replica.into_storage(), self.fallback_journal.map(Journal::into_storage))
     }
 
-    /// When [`Process::wake`] is due.
+    /// When [`Process::wake`] must next be called.
     pub fn next_wake(&self) -> Micros {
         self.replica.next_wake().min(self.follower.next_wake())
     }
 
-    /// Takes bytes whose sender the transport has authenticated.
+    /// Handles a message from a gateway that the transport has authenticated.
     pub fn receive(&mut self, now: Micros, from: GatewayId, bytes: &[u8], transport: &mut impl Transport) {
         match decode(bytes) {
             Ok(message) => self.handle(now, from, message),
@@ -170,7 +174,7 @@
         self.store_and_send(now, transport);
     }
 
-    /// Sends a message as an editor or operator would, to a replica.
+    /// Sends a message of an editor or operator to a replica.
     pub fn send_to_replica(
         &mut self,
         now: Micros,
@@ -194,43 +198,46 @@
         }
     }
 
-    /// Sets what its gateway has open and has use for, counted under what [`Process::view`] last returned;
-    /// `within_permits`: the servers of [`Process::pending_budgets`], if no more is open there than permitted.
+    /// Sets the report on the gateway's connections and demand for the next lease request. It must have been made under
+    /// the view that [`Process::view`] last returned. `within_permits`: the servers of [`Process::pending_budgets`] if no
+    /// more connections are open at them than permitted, empty otherwise.
     pub fn set_connection_report(&mut self, report: GatewayReport, within_permits: BTreeMap<String, bool>) {
-        let alone = report.sole_process && self.config.exclusive;
-        self.follower.report_permits(GatewayReport { sole_process: alone, ..report });
+        let sole_process = report.sole_process && self.config.exclusive;
+        self.follower.report_permits(GatewayReport { sole_process, ..report });
         self.within_permits = within_permits;
     }
 
-    /// Whether a lease request goes out when it is woken now.
+    /// Whether [`Process::wake`] sends a lease request if it is called now.
     pub fn lease_request_due(&self, now: Micros) -> bool {
         now >= self.follower.next_wake()
     }
 
-    /// Requests a lease at the next wake.
+    /// Makes the next [`Process::wake`] send a lease request.
     pub fn request_lease_now(&mut self, now: Micros) {
         self.follower.request_now(now);
     }
 
-    /// Servers with a budget under the version that its fallback rules are to come from next: before it has closed what
-    /// it has no permits for there, the replicas must not count on it.
+    /// The budgeted servers of the version that is to be stored as the next fallback version. It is stored only once the
+    /// gateway has closed all connections to them beyond its permits, because the replicas rely on a version that is
+    /// reported as stored.
     pub fn pending_budgets(&self) -> BTreeMap<String, bool> {
         self.follower.version_to_store().map(|version| version.rules.budgeted_servers()).unwrap_or_default()
     }
 
-    /// The guard of this process, where nobody else keeps one.
+    /// The guard of this process, for callers that have no guard of their own.
     pub fn guard(&mut self) -> &mut AttemptGuard {
         &mut self.guard
     }
 
-    /// Sets the time of day for its replica: minutes from midnight, UTC.
+    /// Sets the time of day for the replica, in minutes since midnight UTC.
     pub fn set_minute_of_day(&mut self, minute: u16) {
         if let Some(replica) = self.replica.running_mut() {
             replica.set_minute_of_day(minute);
         }
     }
 
-    /// Does what is due.
+    /// Does everything that is due: restarts a stopped replica, advances the replica and the follower, then stores and
+    /// sends.
     pub fn wake(&mut self, now: Micros, transport: &mut impl Transport) {
         self.replica.restart_if_due(now, &self.config);
         self.replica.run(now, |replica| replica.advance(now));
@@ -246,7 +253,7 @@
         }
     }
 
-    /// Makes durable what must be, then sends.
+    /// Makes the state that messages depend on durable, then sends the messages.
     fn store_and_send(&mut self, now: Micros, transport: &mut impl Transport) {
         for _ in 0..MAX_SEND_ROUNDS {
             self.store_fallback_version();
@@ -265,7 +272,8 @@
         let is_within_permits = |version: &&Version| version.rules.budgeted_servers() == self.within_permits;
         let Some(version) = self.follower.version_to_store().filter(is_within_permits) else { return };
         let (number, bytes) = (version.number, version.to_bytes());
-        // Stored or not, it acts on; only what was stored is reported, and counted on by the replicas.
+        // The process keeps running even if the version could not be stored. Only a stored version is reported, so that
+        // the replicas rely on no other.
         let stored = self.fallback_journal.as_mut().map(|journal| journal.replace(&[bytes]));
         if matches!(stored, Some(Ok(()))) {
             self.follower.mark_stored(number);
@@ -274,28 +282,29 @@
         }
     }
 
-    /// Records that a server, by name, reported whether it takes new work, in response to a request sent at
+    /// Records whether the server with this name reported that it takes new work, in the response to a request sent at
     /// `requested_at`.
     pub fn record_report(&mut self, now: Micros, server: &str, requested_at: Micros, ready: bool) {
         self.refresh_guard(now);
         let view = self.guard.view().clone();
-        // One that no rules name any more may report what it likes.
+        // Reports of servers that the rules in effect do not list as ready are ignored.
         if let Some(address) = view.at(now).1.effective.servers.get(server) {
             self.guard.record_report(address, requested_at, ready);
         }
     }
 
-    /// Sets the verdict on a version, to be reported to the replicas.
+    /// Sets the verdict on a version that the follower reports to the replicas.
     pub fn set_canary_verdict(&mut self, verdict: CanaryVerdict) {
         self.follower.report_canary(verdict.version, verdict.healthy);
     }
 
-    /// What it acts under, for those who check right before they send: see [`AttemptGuard::set_view`].
+    /// The rules and permits in effect for this process, to be published to the guards that check attempts: see
+    /// [`AttemptGuard::set_view`].
     pub fn view(&mut self, now: Micros) -> Arc<RulesView> {
         self.view_cache.view(now, &self.follower)
     }
 
-    /// Publishes what it acts under to its own guard, and returns it.
+    /// Publishes the current view to the guard of this process, and returns the rules in effect and their source.
     pub fn refresh_guard(&mut self, now: Micros) -> (RuleSource, Arc<IndexedRules>) {
         let view = self.view(now);
         self.guard.set_view(view.clone());
@@ -303,7 +312,8 @@
         (source, rules.clone())
     }
 
-    /// Decides on a request; `choice` picks among the eligible servers. None: it must not be sent now, and has not run.
+    /// Authorizes a request to one of the eligible servers, which `choice` selects modulo their number. None: the request
+    /// must not be sent now.
     pub fn authorize(
         &mut self,
         now: Micros,
@@ -322,15 +332,15 @@
         Some(Authorization { source, tenant: tenant.to_owned(), class: class.to_owned(), server })
     }
 
-    /// Checks an authorization again right before the bytes go: the process may have been stopped since, past the end of
-    /// its lease.
+    /// Checks an authorization again right before the request's bytes are sent, because the process may have been
+    /// suspended until after the end of its lease. None: the request must not be sent.
     pub fn reauthorize(&mut self, now: Micros, earlier: &Authorization) -> Option<Authorization> {
         self.refresh_guard(now);
         let source = self.guard.rule_source_for(now, &earlier.tenant, &earlier.class, &earlier.server)?;
         Some(Authorization { source, ..earlier.clone() })
     }
 
-    /// Versions that its replica knows, by number, with their hashes; empty if it has none.
+    /// Hashes of the versions that the replica knows, by number; empty if there is no running replica.
     pub fn version_hashes(&self) -> BTreeMap<VersionNumber, VersionHash> {
         let machine = self.replica().and_then(Replica::state_machine);
         let versions = machine.into_iter().flat_map(|machine| machine.versions());
--- a/crates/fleet-agent/src/quota.rs
+++ b/crates/fleet-agent/src/quota.rs
@@ -1,17 +1,17 @@
-//! Token buckets of the tenants: this gateway's share of each quota.
+//! Token buckets that enforce this gateway's share of each tenant's quota.
 
 use frostgauge_consensus::Micros;
 use std::collections::BTreeMap;
 
-/// Unused share is saved up for so long at most.
+/// A bucket holds at most what its rate yields in this many microseconds.
 const MAX_SAVED_MICROS: u128 = 1_000_000;
-/// Levels are thousandths of a unit times microseconds, so that a rate in thousandths of a unit a second needs no
-/// division.
+/// Converts costs to the unit of levels. Levels are in thousandths of a unit times microseconds, so that adding a rate in
+/// thousandths of a unit per second needs no division.
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// Thousandths of a unit times microseconds.
+    /// What requests may still cost now, in thousandths of a unit times microseconds.
     level: u128,
     refilled_at: Micros,
 }
@@ -21,15 +21,17 @@
 pub(crate) struct Charge {
     /// Thousandths of a unit.
     pub(crate) cost_milli: u64,
-    /// Thousandths of a unit a second.
+    /// Thousandths of a unit per second.
     pub(crate) rate_milli: u64,
 }
 
 impl Charge {
+    /// The cost in the unit of levels.
     fn cost(self) -> u128 {
         u128::from(self.cost_milli) * MICROS_PER_SECOND
     }
 
+    /// The rate in the unit of levels per microsecond.
     fn rate(self) -> u128 {
         u128::from(self.rate_milli)
     }
@@ -40,15 +42,16 @@
 pub(crate) struct QuotaBuckets(BTreeMap<String, Bucket>);
 
 impl QuotaBuckets {
-    /// Drops the buckets of tenants that are gone; one that comes back starts with what one request needs.
+    /// Drops the buckets of unknown tenants. If such a tenant is known again later, its new bucket starts with the cost of
+    /// one request.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&String) -> bool) {
         self.0.retain(|tenant, _| is_known(tenant));
     }
 
-    /// Whether a tenant's share covers a request; takes nothing.
+    /// Checks whether a tenant's share covers a request, without charging it.
     ///
     /// # Errors
-    /// Microseconds until it does.
+    /// Microseconds until the share covers it; 0 if the rate is 0, so that it never does.
     pub(crate) fn check(&mut self, now: Micros, tenant: &str, charge: Charge) -> Result<(), Micros> {
         let level = self.refill(now, tenant, charge).level;
         if level < charge.cost() {
@@ -57,11 +60,11 @@
         Ok(())
     }
 
-    /// Takes a request's cost off a tenant's share.
+    /// Charges a request's cost to a tenant's share.
     ///
     /// # Errors
-    /// Microseconds until the share covers it.
-    pub(crate) fn take(&mut self, now: Micros, tenant: &str, charge: Charge) -> Result<(), Micros> {
+    /// As for [`QuotaBuckets::check`]; nothing is charged then.
+    pub(crate) fn charge(&mut self, now: Micros, tenant: &str, charge: Charge) -> Result<(), Micros> {
         self.check(now, tenant, charge)?;
         if let Some(bucket) = self.0.get_mut(tenant) {
             bucket.level -= charge.cost();
@@ -70,12 +73,13 @@
     }
 
     fn refill(&mut self, now: Micros, tenant: &str, charge: Charge) -> Bucket {
-        // A share under one request a second must save up for one, or none would ever pass.
+        // A share of less than one request per second must accumulate up to a whole request's cost, or no request would
+        // ever be admitted.
         let max_level = (charge.rate() * MAX_SAVED_MICROS).max(charge.cost());
-        // A bucket begins with what one request needs, not with a second's worth: a gateway that restarts again and
-        // again must not bring a new share each time.
-        let new = Bucket { level: charge.cost(), refilled_at: now };
-        let bucket = self.0.entry(tenant.to_owned()).or_insert(new);
+        // A new bucket holds the cost of one request and not the yield of a second: a gateway that restarts repeatedly
+        // would otherwise admit another second's share after each restart.
+        let new_bucket = Bucket { level: charge.cost(), refilled_at: now };
+        let bucket = self.0.entry(tenant.to_owned()).or_insert(new_bucket);
         let elapsed = u128::from(now.saturating_sub(bucket.refilled_at));
         bucket.level = (bucket.level + elapsed * charge.rate()).min(max_level);
         bucket.refilled_at = now.max(bucket.refilled_at);
@@ -83,6 +87,7 @@
     }
 }
 
+/// Microseconds in which `rate` yields `missing`, both in the unit of levels, rounded up; 0 if the rate is 0.
 fn time_until(missing: u128, rate: u128) -> Micros {
     if rate == 0 {
         return 0;
--- a/crates/fleet-agent/src/rejection.rs
+++ b/crates/fleet-agent/src/rejection.rs
@@ -1,21 +1,21 @@
-//! Why a request is not sent.
+//! Reasons for which the rules reject a request or an attempt.
 
 use frostgauge_consensus::Micros;
 
-/// Why the rules do not let a request go.
+/// Why a request is not admitted, or an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptRejection {
-    /// The rules have no such tenant.
+    /// The rules do not contain the tenant.
     UnknownTenant,
-    /// The rules do not allow this tenant requests of that class.
+    /// The rules do not allow the tenant requests of this class.
     ClassNotAllowed,
-    /// Without a lease only floors are served, and this is not among them.
+    /// The gateway has no lease, and the fallback rules, which cover only the floors of tenants, do not allow the request.
     NoLease,
-    /// This gateway's share of the tenant's quota is used up; microseconds until there is enough.
+    /// This gateway's share of the tenant's quota is used up. Contains the microseconds until it covers the request.
     QuotaExhausted(Micros),
-    /// The server must not get it.
+    /// The rules do not list the server as ready, or it has not confirmed that it takes new work.
     ServerUnavailable,
-    /// All connections there that are this tenant's are in use.
+    /// The gateway has no unused connection permit for the tenant at the server.
     NoConnectionPermit,
 }
 
--- a/crates/fleet-agent/src/rules_view.rs
+++ b/crates/fleet-agent/src/rules_view.rs
@@ -1,4 +1,4 @@
-//! The rules that a gateway acts under, as its follower last published them.
+//! The rules in effect at a gateway, as last published from its follower.
 
 use crate::permits;
 use frostgauge_connection_budget::{CompiledPolicy, ConnectionPermit, ReceivedGrants};
@@ -7,23 +7,23 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Effective rules with indexes to look them up by.
+/// Effective rules with indexes for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct IndexedRules {
-    /// The rules.
+    /// What the gateway may do.
     pub effective: EffectiveRules,
-    /// Names of the servers by the address they listen on.
+    /// Names of the servers, by the address they listen on.
     pub server_names: BTreeMap<SocketAddr, String>,
-    /// Plans of the tenants, by the newest of the versions.
+    /// Plans of the tenants under the newest version, by tenant name.
     pub tenant_plans: BTreeMap<String, String>,
-    /// Zones of the servers, likewise.
+    /// Zones of the servers under the newest version, by server name.
     pub server_zones: BTreeMap<String, String>,
-    /// Connection budgets, likewise.
+    /// Connection budgets of the newest version; none: it has none.
     pub budgets: Option<Arc<CompiledPolicy>>,
 }
 
 impl IndexedRules {
-    /// Indexes effective rules; `newest`: the rules of the newest version among those that they come from.
+    /// Indexes effective rules; `newest`: the rules of the newest version that they were derived from.
     pub fn new(effective: EffectiveRules, newest: Option<&Rules>) -> IndexedRules {
         let by_address = |(name, address): (&String, &String)| Some((address.parse().ok()?, name.clone()));
         let server_names = effective.servers.iter().filter_map(by_address).collect();
@@ -35,11 +35,11 @@
         IndexedRules { effective, server_names, tenant_plans, server_zones, budgets }
     }
 
-    /// The permit that a tenant's connection to a server needs; none: there is no such server here.
+    /// The permit that a tenant's connection to a server needs; none: no server with this address is in the rules.
     pub(crate) fn permit(&self, tenant: &str, class: &str, server: SocketAddr) -> Option<ConnectionPermit> {
         let name = self.server_names.get(&server)?;
-        let needs = self.effective.budgeted.contains_key(name);
-        Some(permits::permit(self.budgets.as_deref(), needs, name, tenant, class))
+        let budgeted = self.effective.budgeted.contains_key(name);
+        Some(permits::permit(self.budgets.as_deref(), budgeted, name, tenant, class))
     }
 
     /// Whether a tenant may send requests of a class.
@@ -52,7 +52,7 @@
 
 impl PartialEq for IndexedRules {
     fn eq(&self, other: &IndexedRules) -> bool {
-        // The rest follows from these, and is read from the same version.
+        // The server names follow from the effective rules.
         self.effective == other.effective
             && self.tenant_plans == other.tenant_plans
             && self.server_zones == other.server_zones
@@ -65,25 +65,25 @@
 
 impl Eq for IndexedRules {}
 
-/// A lease on what some versions allow.
+/// Rules that a lease allows a gateway to act under.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeasedRules {
-    /// The versions.
+    /// Numbers of the leased versions.
     pub versions: BTreeSet<VersionNumber>,
     /// When the lease expires, by the gateway's clock.
     pub expires_at: Micros,
-    /// What all of the versions allow.
+    /// The rules: what each of the versions allows.
     pub rules: Arc<IndexedRules>,
 }
 
-/// What a gateway acts under.
+/// The rules and permits in effect at a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RulesView {
-    /// The lease, if there is one.
+    /// The lease, if there is one; it may have expired since.
     pub lease: Option<LeasedRules>,
-    /// The version that the fallback rules come from.
+    /// Number of the version that the fallback rules come from; none: no version is known yet.
     pub fallback_version: Option<VersionNumber>,
-    /// What holds without a lease.
+    /// The rules in effect without a valid lease.
     pub fallback_rules: Arc<IndexedRules>,
     /// Connection permits that the replicas have granted.
     pub permits: Arc<ReceivedGrants>,
@@ -94,7 +94,7 @@
         self.lease.as_ref().filter(|lease| now < lease.expires_at)
     }
 
-    /// The rules in effect now, and where they come from.
+    /// The rules in effect at the time `now`, and their source.
     pub fn at(&self, now: Micros) -> (RuleSource, &Arc<IndexedRules>) {
         match self.valid_lease(now) {
             Some(lease) => (RuleSource::Lease(lease.versions.clone(), lease.expires_at), &lease.rules),
@@ -102,19 +102,20 @@
         }
     }
 
-    /// The rules in effect now.
+    /// The rules in effect at the time `now`.
     pub(crate) fn rules(&self, now: Micros) -> &Arc<IndexedRules> {
         self.valid_lease(now).map_or(&self.fallback_rules, |lease| &lease.rules)
     }
 
-    /// Whether only the fallback rules are in effect now.
+    /// Whether the fallback rules are in effect at the time `now`, because there is no valid lease.
     pub fn on_fallback(&self, now: Micros) -> bool {
         self.valid_lease(now).is_none()
     }
 
+    /// Whether the leased or the fallback rules contain a tenant.
     pub(crate) fn contains_tenant(&self, tenant: &str) -> bool {
         let leased = self.lease.as_ref().map(|lease| &lease.rules);
-        let mut rules = leased.into_iter().chain([&self.fallback_rules]);
-        rules.any(|rules| rules.effective.tenants.contains_key(tenant))
+        let mut all_rules = leased.into_iter().chain([&self.fallback_rules]);
+        all_rules.any(|rules| rules.effective.tenants.contains_key(tenant))
     }
 }
--- a/crates/fleet-agent/src/task/command.rs
+++ b/crates/fleet-agent/src/task/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the task, and the handle that sends them.
+//! Commands to the task of the fleet agent, and the handle that sends them.
 
 use crate::attempt_guard::AttemptGuard;
 use crate::canary::CanaryVerdict;
@@ -12,36 +12,38 @@
 /// The rules of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedRules {
-    /// VersionNumber of the version.
+    /// Number of the version.
     pub number: VersionNumber,
-    /// Its rules.
+    /// Rules of the version.
     pub rules: Rules,
 }
 
-/// What the task is asked to do.
+/// A command to the task.
 #[derive(Debug)]
 pub enum Command {
-    /// Report to the replicas how attempts fare under a version.
+    /// Report a verdict on a version to the replicas.
     ReportCanary(CanaryVerdict),
-    /// Send an editor's proposal. The reply is its outcome; none: not known within 15 s, it may yet be numbered, and its
-    /// outcome is found by sending it again with the same id.
+    /// Send an editor's proposal to the replicas. The reply is its outcome; none: the outcome is not known after 15 s, or
+    /// too many proposals are pending. The proposal may still be accepted later; sending it again with the same id returns
+    /// its outcome.
     Propose(Box<Proposal>, Sender<Option<Outcome>>),
     /// Send an operator's message to every replica.
     Broadcast(Message),
-    /// Request a lease now: something has changed here.
+    /// Request a lease now instead of at the next interval, because something to report has changed.
     RequestLease,
-    /// Reply with the state of the process.
+    /// Reply with the state of the process as JSON.
     Status(Sender<Value>),
-    /// Reply with who may have how many connections, and by which rules; none: this is no voter, or there are no
-    /// budgets.
+    /// Reply with the shares of the connection budgets as JSON; none: this process has no running replica, or the
+    /// fallback version has no budgets.
     BudgetShares(Sender<Option<Value>>),
-    /// Reply with a version's rules; the latest known here, if no number is given.
+    /// Reply with the rules of a version, or of the latest known version if no number is given; none: the version is not
+    /// known here.
     Version(Option<VersionNumber>, Sender<Option<NumberedRules>>),
-    /// End.
+    /// End the task.
     Stop,
 }
 
-/// A running task, for those who talk to it.
+/// Sends commands to a running task and gives access to its guard.
 #[derive(Clone, Debug)]
 pub struct TaskHandle {
     pub(super) commands: Sender<Command>,
@@ -49,9 +51,9 @@
 }
 
 impl TaskHandle {
-    /// The guard of the gateway's attempts. To be held for a check, not longer.
+    /// Locks the guard of the gateway's attempts. The lock must be held only briefly, because every attempt needs it.
     pub fn guard(&self) -> MutexGuard<'_, AttemptGuard> {
-        // Nothing panics while it is held; if something did, its content is still whole.
+        // No code is known to panic while it holds the lock; if one did, the guard's state would still be usable.
         self.guard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -60,7 +62,7 @@
         self.commands.try_send(command).is_ok()
     }
 
-    /// Sends a command and waits for the reply; none if the task has ended or does not reply in time.
+    /// Sends a command and waits for the reply. None: the task has ended, or it has not replied within the timeout.
     pub async fn request<T>(
         &self,
         command: impl FnOnce(Sender<T>) -> Command,
--- a/crates/fleet-agent/src/task/mod.rs
+++ b/crates/fleet-agent/src/task/mod.rs
@@ -1,9 +1,10 @@
-//! The task that runs a process in a gateway: on a thread of its own, since a replica waits for its disk before it sends
-//! anything.
+//! The task that runs a process in a gateway. It has a thread of its own, because a replica waits for its disk before it
+//! sends anything.
 //!
-//! The task owns all state of the process; others talk to it through a [`TaskHandle`], by [`Command`]s, and read what it
-//! publishes to the [`AttemptGuard`](crate::AttemptGuard). If it fails it is started anew from its folder and says so; the lease that was
-//! published holds until it expires, and no longer.
+//! The task owns all state of the process. Other tasks send it [`Command`]s through a [`TaskHandle`] and use the
+//! [`AttemptGuard`](crate::AttemptGuard) to which it publishes the rules in effect. If the process fails, an error is
+//! logged and the process is started again from its folder; until then the published lease stays valid, but not beyond
+//! its expiry.
 
 mod command;
 mod proposals;
@@ -24,27 +25,27 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Folder of a replica's log, within the task's; part of the stored data.
+/// Name of the folder of a replica's log within the task's folder; part of the stored data.
 const REPLICA_FOLDER: &str = "keeper";
-/// Folder of the fallback version, within the task's; part of the stored data.
+/// Name of the folder of the fallback version within the task's folder; part of the stored data.
 const FALLBACK_FOLDER: &str = "stands";
 
-/// The clock that the gateway's other tasks use too.
+/// A clock in microseconds that the task shares with the other tasks of the gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskClock {
-    /// A moment.
+    /// The instant at which the clock showed `origin_micros`.
     pub origin: Instant,
-    /// What the clock showed then.
+    /// The time that the clock showed at `origin`.
     pub origin_micros: Micros,
 }
 
 impl TaskClock {
-    /// What the clock shows now.
+    /// The time that the clock shows now.
     fn now(&self) -> Micros {
         self.origin_micros + Micros::try_from(self.origin.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// The moment at which it shows `at`, not before now and not further ahead than `max_ahead`.
+    /// The instant at which the clock shows `at`, but not before now and not more than `max_ahead` from now.
     fn instant(&self, at: Micros, max_ahead: Duration) -> Instant {
         let since_origin = Duration::from_micros(at.saturating_sub(self.origin_micros));
         let latest = self.origin.elapsed() + max_ahead;
@@ -52,27 +53,27 @@
     }
 }
 
-/// What a task is started from.
+/// Configuration of a task.
 pub struct TaskConfig {
-    /// The process. Its seed is drawn anew at each start.
+    /// Configuration of the process. Its `random_seed` is ignored: a new one is drawn at each start.
     pub process: ProcessConfig,
-    /// Its folder: a replica's log in `keeper`, the fallback version in `stands`.
+    /// Folder of the stored data: the replica's log is in `keeper`, the fallback version in `stands`.
     pub folder: PathBuf,
-    /// The clock.
+    /// The clock of the gateway.
     pub clock: TaskClock,
     /// Messages received from other gateways.
     pub inbox: Receiver<PeerMessage>,
     /// Sends messages to other gateways.
     pub transport: PeerTransport,
-    /// Called when the rules in effect or the permits have changed.
+    /// Called after each change of the rules in effect or of the permits.
     pub on_change: Box<dyn Fn() + Send>,
 }
 
-/// Writes the fleet's first rules into a replica's folder: once in a fleet's life, from the same rules at each of its
-/// replicas. The order of the canary part comes from a hash of the rules.
+/// Writes the fleet's first rules to the folder of a replica, before the fleet's first start. Each replica must be given
+/// the same rules. The order in which gateways are chosen as canaries is derived from a hash of the rules.
 ///
 /// # Errors
-/// The folder holds versions already or cannot be written, or the rules have faults.
+/// The folder contains versions already or cannot be written, or the rules or the number of replicas are invalid.
 pub fn bootstrap(
     folder: &Path,
     replicas: &BTreeSet<GatewayId>,
--- a/crates/fleet-agent/src/task/status.rs
+++ b/crates/fleet-agent/src/task/status.rs
@@ -1,4 +1,4 @@
-//! The state of the process as JSON, for `GET /accord`. The keys are part of the admin interface.
+//! State of the process as JSON, for `GET /accord`. The keys are part of the admin interface.
 
 use crate::process::Process;
 use crate::rules_view::RulesView;
--- a/crates/fleet-agent/src/task/supervisor.rs
+++ b/crates/fleet-agent/src/task/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starts the task's thread, and restarts the process when it fails.
+//! Starts the thread of the task, and restarts the process when it fails.
 
 use super::worker::Worker;
 use super::{TaskConfig, TaskHandle, FALLBACK_FOLDER, REPLICA_FOLDER};
@@ -11,29 +11,29 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Commands that may be queued.
+/// Capacity of the queue of commands.
 const MAX_QUEUED_COMMANDS: usize = 64;
-/// Delay before a failed task is started anew.
+/// Delay before a failed process is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// Starts the task. It ends by [`super::Command::Stop`], or once no handle is left.
+/// Starts the task. It ends on [`super::Command::Stop`].
 ///
 /// # Errors
-/// A folder in use or damaged, with file and place; or no thread.
+/// A folder is in use or damaged (the error contains the file name and offset), or the thread cannot be started.
 pub fn start(config: TaskConfig) -> Result<(TaskHandle, JoinHandle<()>), AgentError> {
     let (commands, command_queue) = async_channel::bounded(MAX_QUEUED_COMMANDS);
     let guard = Arc::new(Mutex::new(AttemptGuard::new(config.process.timing.confirmation_ttl)));
     let handle = TaskHandle { commands, guard };
-    let first = start_process(&config)?;
+    let process = start_process(&config)?;
     let worker = Worker::new(config, command_queue, handle.clone());
     let thread = std::thread::Builder::new()
         .name("agreed".into())
-        .spawn(move || supervise(worker, first))
+        .spawn(move || supervise(worker, process))
         .map_err(AgentError::Thread)?;
     Ok((handle, thread))
 }
 
-/// Runs the process until it is to end, and starts it anew whenever it panics or its folder cannot be opened.
+/// Runs the process until the task is to end, and restarts it whenever it panics or its folder cannot be opened.
 fn supervise(mut worker: Worker, first: Process<Disk>) {
     let mut process = Some(first);
     loop {
@@ -45,7 +45,7 @@
                     true
                 }
                 Err(error) => {
-                    tracing::error!(%error, "fleet agent: cannot open its folder");
+                    tracing::error!(%error, "cannot open the folders of the fleet agent; trying again");
                     false
                 }
             }
@@ -59,10 +59,10 @@
 }
 
 fn start_process(config: &TaskConfig) -> Result<Process<Disk>, AgentError> {
-    // Taking the folders' locks shows that no other process with these folders runs.
+    // The folders' locks, which are taken below, prove that no other process with these folders is running.
     let process = ProcessConfig { random_seed: rand::random(), exclusive: true, ..config.process.clone() };
     let replica_folder = config.folder.join(REPLICA_FOLDER);
-    // One that became a voter by a later configuration has the folder already.
+    // A gateway that became a voter by a later configuration is not named in the settings, but has the folder.
     let has_replica = process.replicas.contains(&process.self_id) || replica_folder.exists();
     let replica_storage = has_replica.then(|| Disk::open_exclusive(&replica_folder)).transpose();
     let replica_storage = replica_storage.map_err(|error| AgentError::Replica(error.to_string()))?;
--- a/crates/fleet-agent/src/task/worker.rs
+++ b/crates/fleet-agent/src/task/worker.rs
@@ -1,5 +1,5 @@
-//! The loop of the task: takes commands and messages, lets the process act on them, publishes the rules in effect, and
-//! only then sends.
+//! The main loop of the task. It receives commands and messages, has the process handle them, publishes the rules in
+//! effect, and only then sends the resulting messages.
 
 use super::command::{Command, NumberedRules, TaskHandle};
 use super::proposals::PendingProposals;
@@ -19,14 +19,14 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Events handled before their results are published and sent.
+/// Maximum number of events that are handled before the results are published and sent.
 const MAX_BATCH: usize = 256;
-/// The longest time until the next look at what is due.
+/// Maximum time between two checks of what is due.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
 const SECONDS_PER_MINUTE: u64 = 60;
 const MINUTES_PER_DAY: u64 = 24 * 60;
 
-/// Messages held back until what they rely on is published.
+/// Messages that are held back until the rules and permits that they acknowledge are published.
 #[derive(Default)]
 struct Outbox(Vec<(GatewayId, Vec<u8>)>);
 
@@ -39,22 +39,24 @@
 enum Event {
     Command(Command),
     Message(PeerMessage),
-    /// Something may be due.
+    /// A deadline has passed, or the maximum time between two checks.
     Timer,
-    /// No handle is left.
+    /// All handles have been dropped.
     Disconnected,
 }
 
-/// Runs one process after the other, and keeps what outlives them.
+/// Runs the process of the task, and keeps the state that must survive a restart of the process.
 pub(super) struct Worker {
     config: TaskConfig,
     commands: Receiver<Command>,
     handle: TaskHandle,
+    /// The view that was last published to the guard.
     published: Arc<RulesView>,
+    /// Whether the fallback rules were in effect at the last publication.
     was_on_fallback: bool,
     proposals: PendingProposals,
     restarts: u64,
-    /// Since the present process started, no connection was open for a moment.
+    /// Whether at some time since the last restart no connection of the gateway was open.
     all_closed_since_start: bool,
 }
 
@@ -79,10 +81,10 @@
     pub(super) fn note_restart(&mut self) {
         self.restarts += 1;
         self.all_closed_since_start = false;
-        tracing::error!(restarts = self.restarts, "fleet agent failed, restarting");
+        tracing::error!(restarts = self.restarts, "fleet agent failed; restarting it after a delay");
     }
 
-    /// Runs a process until it is told to end.
+    /// Runs a process until the task is to end.
     pub(super) fn run(&mut self, mut process: Process<Disk>) {
         let mut outbox = Outbox::default();
         loop {
@@ -94,7 +96,8 @@
             self.report_connections(now, &mut process);
             process.wake(now, &mut outbox);
             self.advance_proposals(now, &mut process, &mut outbox);
-            // What a replica is told to count on must hold for those who send requests before it is told.
+            // The guard must apply the new rules and permits before a message acknowledges them, because the replicas rely
+            // on that message.
             self.publish(&mut process);
             for (to, bytes) in outbox.0.drain(..) {
                 self.config.transport.send(to, bytes);
@@ -102,6 +105,7 @@
         }
     }
 
+    /// Waits for a command, a message or the next deadline.
     async fn next_event(&self, process: &Process<Disk>) -> Event {
         let lease = self.published.lease.as_ref().filter(|_| !self.was_on_fallback);
         let expiry = lease.map(|lease| lease.expires_at);
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Handles an event and those queued behind it; false if the process is to end.
+    /// Handles an event and the events queued after it, up to a batch; false if the task is to end.
     fn handle_batch(
         &mut self,
         now: Micros,
@@ -150,7 +154,8 @@
         command.or_else(|| self.config.inbox.try_recv().ok().map(Event::Message))
     }
 
-    /// Sets what is open, counted under what was published last, for the lease request that goes out next.
+    /// Sets the report on connections for the lease request if one is due. The report is made under the view that was
+    /// published last.
     fn report_connections(&mut self, now: Micros, process: &mut Process<Disk>) {
         if !process.lease_request_due(now) {
             return;
@@ -159,15 +164,15 @@
         let mut guard = self.handle.guard();
         let within_permits = if guard.within_permits(now, &pending) { pending } else { BTreeMap::new() };
         self.all_closed_since_start |= guard.all_connections_closed();
-        // What an earlier process of this task opened is still there until it is closed.
-        let alone = self.restarts == 0 || self.all_closed_since_start;
-        let report = GatewayReport { sole_process: alone, ..guard.connection_report(now) };
+        // Connections opened while an earlier process of this task ran may still be open after a restart.
+        let sole_process = self.restarts == 0 || self.all_closed_since_start;
+        let report = GatewayReport { sole_process, ..guard.connection_report(now) };
         drop(guard);
         process.set_connection_report(report, within_permits);
         process.set_minute_of_day(minute_of_day());
     }
 
-    /// Publishes what the process acts under now.
+    /// Publishes the rules and permits now in effect to the guard, and reports changes of them.
     fn publish(&mut self, process: &mut Process<Disk>) {
         let now = self.config.clock.now();
         let view = process.view(now);
@@ -211,15 +216,15 @@
         }
     }
 
-    /// Sends proposals that are due, and replies to those whose outcome is known or given up.
+    /// Sends the proposals that are due, and replies to those whose outcome is known or that are given up.
     fn advance_proposals(&mut self, now: Micros, process: &mut Process<Disk>, outbox: &mut Outbox) {
         for message in self.proposals.take_due(now) {
             send_to_replicas(now, &message, process, outbox);
         }
-        for resolved in process.take_outcomes() {
-            self.proposals.resolve(resolved);
+        for outcome in process.take_outcomes() {
+            self.proposals.resolve(outcome);
         }
-        self.proposals.give_up_late(now);
+        self.proposals.drop_expired(now);
     }
 }
 
@@ -229,7 +234,7 @@
     }
 }
 
-/// The rules of a version, or of the latest known here, by the replica or the follower.
+/// The rules of a version, or of the latest version known to the replica or the follower if no number is given.
 fn rules_of_version(number: Option<VersionNumber>, process: &Process<Disk>) -> Option<NumberedRules> {
     let machine = process.replica().and_then(Replica::state_machine);
     let latest = || machine.map(|machine| machine.latest()).max(process.follower().newest_known());
--- a/crates/fleet-agent/src/view_cache.rs
+++ b/crates/fleet-agent/src/view_cache.rs
@@ -1,4 +1,4 @@
-//! The rules that a follower acts under, derived anew only when they change.
+//! Derives the rules in effect from the follower's state, only when the versions they come from change.
 
 use crate::rules_view::{IndexedRules, LeasedRules, RulesView};
 use frostgauge_consensus::{Follower, Micros, RuleSource, VersionNumber};
@@ -15,7 +15,7 @@
     rules: Arc<IndexedRules>,
 }
 
-/// What the versions of the last lease, and the last fallback version, allow.
+/// The indexed rules of the last lease's versions and of the last fallback version.
 #[derive(Default)]
 pub(crate) struct ViewCache {
     lease: Option<CachedLease>,
@@ -23,7 +23,7 @@
 }
 
 impl ViewCache {
-    /// What the follower acts under now.
+    /// The rules and permits in effect for the follower now.
     pub(crate) fn view(&mut self, now: Micros, follower: &Follower) -> Arc<RulesView> {
         let source = follower.rule_source(now);
         let fallback_version = follower.fallback_version();
