--- a/crates/fleet-agent/src/canary.rs
+++ b/crates/fleet-agent/src/canary.rs
@@ -15,7 +15,7 @@
 pub struct CanaryVerdict {
     /// Number of the version.
     pub version: VersionNumber,
-    /// Whether attempts under the version do not fail much more often than under the one before it.
+    /// False if most attempts under the version failed, although few had failed under the version before it.
     pub healthy: bool,
 }
 
@@ -26,12 +26,12 @@
 }
 
 impl AttemptCounts {
-    /// Whether over half of enough attempts failed.
+    /// Whether over half of at least [`MIN_VERDICT_ATTEMPTS`] attempts failed.
     fn mostly_failed(self) -> bool {
         self.ended >= MIN_VERDICT_ATTEMPTS && self.failed * 2 > self.ended
     }
 
-    /// Whether a quarter or more of enough attempts failed.
+    /// Whether a quarter or more of at least [`MIN_VERDICT_ATTEMPTS`] attempts failed.
     fn often_failed(self) -> bool {
         self.ended >= MIN_VERDICT_ATTEMPTS && self.failed * 4 >= self.ended
     }
--- a/crates/fleet-agent/src/process.rs
+++ b/crates/fleet-agent/src/process.rs
@@ -42,7 +42,8 @@
     pub replicas: BTreeSet<GatewayId>,
     /// Timeouts and intervals.
     pub timing: Timing,
-    /// Drawn anew at each start: incarnation of the follower and seed of all random choices.
+    /// Drawn anew at each start. It is the follower's incarnation; the replica's nonce and the seed of the follower's
+    /// random generator are derived from it.
     pub random_seed: u64,
     /// Whether no other process of this gateway is running. A lock on its folder, which is released only when the process
     /// ends, shows that.
@@ -92,7 +93,7 @@
     /// which the follower's fallback version is stored.
     ///
     /// # Errors
-    /// A folder cannot be read or written, or is damaged; the error contains the file name and offset.
+    /// A folder cannot be read or written, or is damaged; in the latter case the error says in which file and where.
     pub fn start(
         now: Micros,
         config: ProcessConfig,
--- a/crates/fleet-agent/src/task/supervisor.rs
+++ b/crates/fleet-agent/src/task/supervisor.rs
@@ -19,7 +19,7 @@
 /// Starts the task. It ends on [`super::Command::Stop`].
 ///
 /// # Errors
-/// A folder is in use or damaged (the error contains the file name and offset), or the thread cannot be started.
+/// A folder is in use, damaged or not writable, or the thread cannot be started.
 pub fn start(config: TaskConfig) -> Result<(TaskHandle, JoinHandle<()>), AgentError> {
     let (commands, command_queue) = async_channel::bounded(MAX_QUEUED_COMMANDS);
     let guard = Arc::new(Mutex::new(AttemptGuard::new(config.process.timing.confirmation_ttl)));
--- a/crates/fleet-agent/src/task/worker.rs
+++ b/crates/fleet-agent/src/task/worker.rs
@@ -41,7 +41,7 @@
     Message(PeerMessage),
     /// A deadline has passed, or the maximum time between two checks.
     Timer,
-    /// All handles have been dropped.
+    /// The queue of commands is closed.
     Disconnected,
 }
 
@@ -56,7 +56,7 @@
     was_on_fallback: bool,
     proposals: PendingProposals,
     restarts: u64,
-    /// Whether at some time since the last restart no connection of the gateway was open.
+    /// Whether a connection report since the last restart of the process found no open connection.
     all_closed_since_start: bool,
 }
 
