--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// Another recorder is installed.
-pub fn metrics() -> Result<PrometheusHandle, String> {
+pub fn install_metrics() -> Result<PrometheusHandle, String> {
     static HANDLE: OnceLock<Result<PrometheusHandle, String>> = OnceLock::new();
     let install = || PrometheusBuilder::new().install_recorder().map_err(|e| e.to_string());
     HANDLE.get_or_init(install).clone()
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -27,7 +27,7 @@
     }
 
     /// A moment, and what the clock showed then: for a task that goes by the same time without this type.
-    pub fn began(&self) -> (Instant, Micros) {
+    pub fn origin(&self) -> (Instant, Micros) {
         (self.start, self.base)
     }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::Micros;
 pub use crate::event::{CallId, CallMetadata, Command, Input};
-use crate::reply::{Failed, GatewayAnswer};
+use crate::reply::{FailureReason, GatewayAnswer};
 use crate::timers::Timers;
 use crate::zone_gate::ZoneGate;
 use frostgauge::{Action, Event, Gateway, ListKind, RejectReason, RequestId, ServerEntry, ServerId, Status};
@@ -164,7 +164,7 @@
     }
 
     /// Applies further admission rules before the decision library.
-    pub fn admit_by(&mut self, admission: Box<dyn Admission>) {
+    pub fn set_admission(&mut self, admission: Box<dyn Admission>) {
         self.admission = Some(admission);
     }
 
@@ -174,12 +174,12 @@
         self.answer_margin = loaded.file.limits.answer_margin_ms * 1_000;
         self.max_open_calls = loaded.file.limits.open;
         self.identity.configure(identity_config(loaded));
-        self.servers(now, loaded.entries(), out);
+        self.replace_servers(now, loaded.entries(), out);
     }
 
     /// Replaces the endpoint list.
-    pub fn servers(&mut self, now: Micros, entries: Vec<ServerEntry>, out: &mut Vec<Command>) {
-        self.library.gate.list(now, &entries);
+    pub fn replace_servers(&mut self, now: Micros, entries: Vec<ServerEntry>, out: &mut Vec<Command>) {
+        self.library.gate.replace_servers(now, &entries);
         self.decide(now, Event::Servers { kind: ListKind::Full, entries }, out);
         self.report_zone_changes(out);
     }
@@ -212,7 +212,7 @@
 
     fn report_zone_changes(&mut self, out: &mut Vec<Command>) {
         if let Some(zones) = &mut self.library.gate.zones {
-            out.extend(zones.changes().into_iter().map(Command::Zone));
+            out.extend(zones.changes().into_iter().map(Command::LogZoneChange));
         }
     }
 
@@ -234,13 +234,13 @@
             Input::AuthenticatedCall { metadata, tenant } => {
                 self.authenticated_call(now, metadata, tenant, out)
             }
-            Input::ClientGone { call_id } => self.client_gone(now, call_id, out),
+            Input::ClientDisconnected { call_id } => self.client_gone(now, call_id, out),
             Input::Introspected { flight, answer } => {
                 let mut steps = std::mem::take(&mut self.steps);
                 self.identity.answered(now, flight, answer, &mut steps);
                 self.carry_out(now, steps, out);
             }
-            Input::AttemptEnded { call_id, attempt, server, status, took, used, load } => {
+            Input::AttemptEnded { call_id, attempt, server, status, elapsed, usage, load } => {
                 let id = RequestId(call_id);
                 let serves = status == Status::Ok;
                 let call = self.calls.get_mut(&call_id);
@@ -253,7 +253,7 @@
                         out.push(Command::Deliver { call_id, attempt });
                     }
                 }
-                self.library.gate.ended(now, server, status, took, load);
+                self.library.gate.record_end(now, server, status, elapsed, load);
                 self.report_zone_changes(out);
                 let settled = None;
                 let event = Event::AttemptEnded {
@@ -261,9 +261,9 @@
                     attempt,
                     server,
                     status,
-                    elapsed: took,
+                    elapsed,
                     request_finished,
-                    usage: used,
+                    usage,
                     settled_units: settled,
                     load,
                 };
@@ -272,8 +272,8 @@
             Input::Probed { server, status, load } => {
                 self.decide(now, Event::ProbeResult { server, status, load }, out);
             }
-            Input::Checked { server, status, took } => {
-                self.library.gate.ended(now, server, status, took, None);
+            Input::HealthChecked { server, status, elapsed } => {
+                self.library.gate.record_end(now, server, status, elapsed, None);
                 self.report_zone_changes(out);
             }
             Input::DrainZone { zone, drained } => {
@@ -282,14 +282,10 @@
                 }
                 self.report_zone_changes(out);
             }
-            Input::CounterReplied { counter, total, unsure, took } => {
-                self.decide(
-                    now,
-                    Event::CounterReply { counter, total, may_have_added: unsure, elapsed: took },
-                    out,
-                );
+            Input::CounterReplied { counter, total, may_have_added, elapsed } => {
+                self.decide(now, Event::CounterReply { counter, total, may_have_added, elapsed }, out);
             }
-            Input::Peer { from, data } => self.decide(now, Event::PeerMessage { from, data }, out),
+            Input::PeerMessage { from, data } => self.decide(now, Event::PeerMessage { from, data }, out),
         }
     }
 
@@ -302,7 +298,7 @@
         }
         if let Some(zones) = &mut self.library.gate.zones {
             zones.advance(now);
-            out.extend(zones.checks(now).into_iter().map(|id| Command::Check { server: ServerId(id) }));
+            out.extend(zones.checks(now).into_iter().map(|id| Command::CheckHealth { server: ServerId(id) }));
         }
         self.report_zone_changes(out);
         while let Some(timer) = self.timers.due(now) {
@@ -482,9 +478,9 @@
                     Action::Fail { id } => {
                         let last = self.calls.get(&id.0).and_then(|call| call.last_status);
                         let failed = match last {
-                            Some(Status::Error) => Failed::ServerError,
-                            Some(Status::Reset) => Failed::ConnectionBroken,
-                            _ => Failed::Timeout,
+                            Some(Status::Error) => FailureReason::ServerError,
+                            Some(Status::Reset) => FailureReason::ConnectionBroken,
+                            _ => FailureReason::Timeout,
                         };
                         self.answer(id.0, GatewayAnswer::Failed(failed), out);
                     }
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -118,7 +118,7 @@
     let mut signals = Signals::new([Signal::Hup, Signal::Term, Signal::Int]).map_err(StartError::Signals)?;
     let gateway = loaded.file.gateway.clone();
     let sockets = Sockets::open(&loaded, clock)?;
-    let metrics = admin::metrics().map_err(StartError::Metrics)?;
+    let metrics = admin::install_metrics().map_err(StartError::Metrics)?;
     let executor = Arc::new(Executor::new());
     let threads = SocketThreads::start(&executor)?;
     let (peers, peer_listener) = sockets.peers.unzip();
@@ -126,7 +126,7 @@
     let rules = fleet_rules::start(&loaded, clock, &executor)
         .map_err(|error| StartError::FleetRules(error.to_string()))?;
     let agreed = rules.as_ref().map(|rules| rules.rules.clone());
-    let connections = rules.as_ref().map(|rules| (rules.rules.clone(), rules.held.clone()));
+    let connections = rules.as_ref().map(|rules| (rules.rules.clone(), rules.pool.clone()));
     let (engine, handle) = oauth::engine(loaded, rand::random(), clock, executor.clone(), peers, connections)
         .map_err(StartError::Decisions)?;
     if let Some(rules) = &rules {
@@ -155,8 +155,8 @@
     drop(stop_admin);
     let _ = decisions.join();
     if let Some(rules) = rules {
-        future::block_on(rules.leave());
-        rules.end();
+        future::block_on(rules.close_server_connections());
+        rules.stop();
     }
     threads.stop();
     Ok(code)
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -38,7 +38,7 @@
     fn handle_event(
         &mut self,
         now: Micros,
-        news: Self::Event,
+        event: Self::Event,
         context: EngineContext<'_>,
         out: &mut Vec<Command>,
     );
@@ -66,7 +66,7 @@
     /// Whose request it is.
     pub grant: Arc<frostgauge_identity::Grant>,
     /// When the request's first attempt that may have run was sent.
-    pub ran: Option<Micros>,
+    pub first_run_sent_at: Option<Micros>,
 }
 
 /// What a host may see and use of its engine.
@@ -74,13 +74,13 @@
     /// The decisions.
     pub core: &'a mut Core,
     /// Answers so far.
-    pub observed: &'a AnswerStats,
+    pub answer_stats: &'a AnswerStats,
     /// Attempts in flight.
-    pub attempts: usize,
+    pub attempts_in_flight: usize,
     /// Messages queued.
-    pub inbox: usize,
+    pub queued_messages: usize,
     /// When the engine started.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Duration of the longest batch so far: how long a message may have waited in the queue.
     pub longest_batch: Micros,
 }
@@ -124,12 +124,12 @@
     }
 
     /// Whether it has gone.
-    pub fn has_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.reply.is_closed()
     }
 
     /// Waits until it has gone.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         self.reply.closed().await;
     }
 }
@@ -149,7 +149,7 @@
     /// A call.
     Call(Box<Call<H>>),
     /// A call's client closed its connection.
-    ClientGone(CallId),
+    ClientDisconnected(CallId),
     /// An attempt ended.
     Ended {
         /// The request.
@@ -167,7 +167,7 @@
         ended: Ended,
     },
     /// A message of another gateway.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: usize,
         /// The message.
@@ -311,10 +311,10 @@
     fn with_host(&mut self, run: impl FnOnce(&mut H, EngineContext<'_>)) {
         let context = EngineContext {
             core: &mut self.core,
-            observed: &self.observed,
-            attempts: self.running.len(),
-            inbox: self.inbox.len(),
-            started: self.started,
+            answer_stats: &self.observed,
+            attempts_in_flight: self.running.len(),
+            queued_messages: self.inbox.len(),
+            started_at: self.started,
             longest_batch: self.longest_batch,
         };
         run(&mut self.host, context);
@@ -328,9 +328,9 @@
                 self.calls.insert(call.call_id, OpenCall { call, ran: None });
                 self.core.handle(now, input, out);
             }
-            Message::ClientGone(call_id) => {
+            Message::ClientDisconnected(call_id) => {
                 self.calls.remove(&call_id);
-                self.core.handle(now, Input::ClientGone { call_id }, out);
+                self.core.handle(now, Input::ClientDisconnected { call_id }, out);
             }
             Message::Ended { call_id, attempt, ended } => self.ended(now, call_id, attempt, ended, out),
             Message::Probed { server, ended } => {
@@ -340,7 +340,9 @@
                 let input = Input::Probed { server, status: ended.status, load: ended.load };
                 self.core.handle(now, input, out);
             }
-            Message::Peer { from, data } => self.core.handle(now, Input::Peer { from, data }, out),
+            Message::PeerMessage { from, data } => {
+                self.core.handle(now, Input::PeerMessage { from, data }, out)
+            }
             Message::Host(event) => {
                 self.with_host(|host, context| host.handle_event(now, event, context, out));
             }
@@ -357,7 +359,15 @@
         if let Some(open) = self.calls.get_mut(&call_id).filter(|_| status.may_have_run()) {
             open.ran.get_or_insert(run.sent);
         }
-        let input = Input::AttemptEnded { call_id, attempt, server: run.server, status, took, used, load };
+        let input = Input::AttemptEnded {
+            call_id,
+            attempt,
+            server: run.server,
+            status,
+            elapsed: took,
+            usage: used,
+            load,
+        };
         let from = out.len();
         self.core.handle(now, input, out);
         let deliver = Command::Deliver { call_id, attempt };
@@ -378,7 +388,8 @@
                     Command::Send { call_id, attempt, server, timeout, grant } => {
                         let open = self.calls.get(&call_id);
                         let ran = open.and_then(|o| o.ran);
-                        let start = Attempt { call_id, attempt, server, timeout, grant, ran };
+                        let start =
+                            Attempt { call_id, attempt, server, timeout, grant, first_run_sent_at: ran };
                         let task = self.host.start_attempt(start, open.map(|o| &*o.call));
                         metrics::counter!("frostgauge_attempts").increment(1);
                         let sent = self.clock.now();
@@ -411,7 +422,7 @@
         self.host.attempt_ended(run.server);
         let took = self.clock.now().saturating_sub(run.sent);
         let (server, status, used, load) = (run.server, Status::Cancelled, None, None);
-        Some(Input::AttemptEnded { call_id, attempt, server, status, took, used, load })
+        Some(Input::AttemptEnded { call_id, attempt, server, status, elapsed: took, usage: used, load })
     }
 
     fn answer(&mut self, call_id: CallId, answer: GatewayAnswer) {
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -45,7 +45,7 @@
         tenant: Tenant,
     },
     /// A call's client closed its connection.
-    ClientGone {
+    ClientDisconnected {
         /// Which.
         call_id: CallId,
     },
@@ -67,9 +67,9 @@
         /// How it ended.
         status: Status,
         /// Time since it was sent, µs.
-        took: Micros,
+        elapsed: Micros,
         /// The tenant's usage as the answer reports it.
-        used: Option<f64>,
+        usage: Option<f64>,
         /// The load that the answer reports.
         load: Option<Load>,
     },
@@ -83,13 +83,13 @@
         load: Option<Load>,
     },
     /// Result of a health check of a server in an unavailable zone.
-    Checked {
+    HealthChecked {
         /// The node.
         server: ServerId,
         /// How it ended.
         status: Status,
         /// Time since it was sent, µs.
-        took: Micros,
+        elapsed: Micros,
     },
     /// A call of the shared counter ended.
     CounterReplied {
@@ -98,9 +98,9 @@
         /// The total, or none.
         total: Option<f64>,
         /// It may have been added.
-        unsure: bool,
+        may_have_added: bool,
         /// Time since the call.
-        took: Micros,
+        elapsed: Micros,
     },
     /// An administrator drains or restores a zone.
     DrainZone {
@@ -110,7 +110,7 @@
         drained: bool,
     },
     /// A message of another gateway.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: usize,
         /// The message.
@@ -170,12 +170,12 @@
         server: ServerId,
     },
     /// Check the health of a server in an unavailable zone, and hand in `Checked`.
-    Check {
+    CheckHealth {
         /// Which.
         server: ServerId,
     },
     /// A zone changed, for the log.
-    Zone(Change),
+    LogZoneChange(Change),
     /// Send a message to another gateway.
     SendToPeer {
         /// Its number.
--- a/crates/gateway/src/fleet_rules/attempt_check.rs
+++ b/crates/gateway/src/fleet_rules/attempt_check.rs
@@ -45,7 +45,7 @@
             }
         };
         self.authorized_at = Some(now);
-        let line = format!("{RULES_FIELD}: {}\r\n", stamp(&source));
+        let line = format!("{RULES_FIELD}: {}\r\n", rules_field_value(&source));
         // Right after the request line.
         let at = request.windows(2).position(|w| w == b"\r\n")? + 2;
         Some(Cow::Owned([&request[..at], line.as_bytes(), &request[at..]].concat()))
@@ -66,7 +66,7 @@
 }
 
 /// The value of the field.
-pub fn stamp(source: &RuleSource) -> String {
+pub fn rules_field_value(source: &RuleSource) -> String {
     match source {
         RuleSource::Lease(set, _) => {
             let numbers: Vec<String> = set.iter().map(ToString::to_string).collect();
--- a/crates/gateway/src/fleet_rules/mod.rs
+++ b/crates/gateway/src/fleet_rules/mod.rs
@@ -7,7 +7,7 @@
 mod runtime;
 
 pub use admission::RulesAdmission;
-pub use attempt_check::{stamp, AttemptCheck, RULES_FIELD};
+pub use attempt_check::{rules_field_value, AttemptCheck, RULES_FIELD};
 pub use runtime::{start, FleetRulesError, RunningFleetRules};
 
 use crate::clock::{Clock, Micros};
@@ -39,7 +39,7 @@
 
     /// The servers as the decisions are to see them: those that the rules and, without a lease, their own reports allow
     /// new work are ready; others of the settings get nothing new.
-    pub fn entries(&self, loaded: &Loaded) -> Vec<(SocketAddr, ServerEntry)> {
+    pub fn server_entries(&self, loaded: &Loaded) -> Vec<(SocketAddr, ServerEntry)> {
         let (open, zones) = self.eligible_nodes();
         let mut entries: Vec<(SocketAddr, ServerEntry)> = vec![];
         for node in &loaded.nodes {
--- a/crates/gateway/src/fleet_rules/runtime.rs
+++ b/crates/gateway/src/fleet_rules/runtime.rs
@@ -51,7 +51,7 @@
     /// The rules.
     pub rules: FleetRules,
     /// Connections to servers under them.
-    pub held: Arc<BudgetedPool>,
+    pub pool: Arc<BudgetedPool>,
     changes: Receiver<()>,
     thread: std::thread::JoinHandle<()>,
     peer_connections: Hold,
@@ -87,7 +87,7 @@
     let (change, changes) = async_channel::bounded(1);
     let process =
         ProcessConfig { self_id, replicas: a.voters.clone(), timing, random_seed: 0, exclusive: true };
-    let (origin, origin_micros) = clock.began();
+    let (origin, origin_micros) = clock.origin();
     let config = TaskConfig {
         process,
         folder: loaded.folder.join(&a.folder),
@@ -106,9 +106,9 @@
     let (life, outlives) =
         (Duration::from_millis(limits.pool_idle_ms), Duration::from_micros(timing.peer_stall_timeout));
     let bounds = PoolBounds { max_idle: limits.pool, max_idle_time: life, close_timeout: outlives };
-    let held =
+    let pool =
         BudgetedPool::new(Arc::new(rules.clone()), executor.clone(), loaded.file.gateway.source, bounds);
-    Ok(Some(RunningFleetRules { rules, held, changes, thread, peer_connections }))
+    Ok(Some(RunningFleetRules { rules, pool, changes, thread, peer_connections }))
 }
 
 impl RunningFleetRules {
@@ -119,18 +119,18 @@
             handle.clone(),
             self.changes.clone(),
             executor.clone(),
-            self.held.clone(),
+            self.pool.clone(),
         );
         executor.spawn(maintenance.run()).detach();
     }
 
     /// Closes all connections to servers and reports that to the replicas, so that their permits are free at once. Given
     /// up after the time of a lease: the replicas then wait until all is surely over.
-    pub async fn leave(&self) {
+    pub async fn close_server_connections(&self) {
         if !self.rules.task.guard().has_permits() {
             return;
         }
-        self.held.start_leaving();
+        self.pool.start_leaving();
         let timing = self.rules.timing;
         let end = self.rules.clock.now() + timing.lease;
         while !self.rules.task.guard().all_closed() && self.rules.clock.now() < end {
@@ -143,10 +143,10 @@
     }
 
     /// Ends the task and its peer connections.
-    pub fn end(self) {
+    pub fn stop(self) {
         drop(self.peer_connections);
         self.rules.task.send(Command::Stop);
-        drop((self.rules, self.held, self.changes));
+        drop((self.rules, self.pool, self.changes));
         let _ = self.thread.join();
     }
 }
--- a/crates/gateway/src/front/http.rs
+++ b/crates/gateway/src/front/http.rs
@@ -91,7 +91,7 @@
     let abandoned: Vec<CallId> =
         connection.outstanding.lock().map(|mut o| o.drain(..).collect()).unwrap_or_default();
     for call_id in abandoned {
-        connection.handle.send(Message::ClientGone(call_id)).await;
+        connection.handle.send(Message::ClientDisconnected(call_id)).await;
     }
     if finished {
         connection.linger().await;
--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -150,10 +150,10 @@
     let mut core = Core::new(&loaded, seed, now)?;
     let (agreed, held) = rules.unzip();
     if let Some(agreed) = &agreed {
-        core.admit_by(Box::new(RulesAdmission::new(agreed.clone(), &loaded)));
+        core.set_admission(Box::new(RulesAdmission::new(agreed.clone(), &loaded)));
         // Until the agreed rules are known, no server may get a request.
-        let entries = agreed.entries(&loaded).into_iter().map(|(_, e)| e).collect();
-        core.servers(now, entries, &mut Vec::new());
+        let entries = agreed.server_entries(&loaded).into_iter().map(|(_, e)| e).collect();
+        core.replace_servers(now, entries, &mut Vec::new());
     }
     let l = &loaded.file.limits;
     let pool =
@@ -213,7 +213,7 @@
                 context.core.handle(now, Input::Introspected { flight, answer }, out);
             }
             HostEvent::Checked { server, status, took } => {
-                context.core.handle(now, Input::Checked { server, status, took }, out);
+                context.core.handle(now, Input::HealthChecked { server, status, elapsed: took }, out);
             }
             HostEvent::Drain { zone, drained, reply } => {
                 let known = self.handle.loaded().file.zones.iter().position(|z| *z == zone);
@@ -225,7 +225,11 @@
             }
             HostEvent::Counted(CallResult { counter, total, unsure, elapsed: took, .. }) => {
                 let counter = CounterId(counter);
-                context.core.handle(now, Input::CounterReplied { counter, total, unsure, took }, out);
+                context.core.handle(
+                    now,
+                    Input::CounterReplied { counter, total, may_have_added: unsure, elapsed: took },
+                    out,
+                );
             }
             HostEvent::Reload(loaded) => self.reload(now, loaded, context.core, out),
             HostEvent::FleetRulesChanged => self.apply_agreed_servers(now, context.core, out),
@@ -250,8 +254,8 @@
         match command {
             Command::Introspect { flight, token, timeout } => self.introspect(flight, token, timeout),
             Command::Probe { server } => self.probe(server),
-            Command::Check { server } => self.check(server),
-            Command::Zone(change) => self.report_zone_change(&change),
+            Command::CheckHealth { server } => self.check(server),
+            Command::LogZoneChange(change) => self.report_zone_change(&change),
             Command::SendToPeer { to, data } => {
                 if let Some(peers) = &mut self.peers {
                     peers.tell(to, &data);
@@ -260,7 +264,12 @@
             Command::AddToCounter { counter, amount, ttl } => {
                 // No counter, or its queue is full: rejected, certainly not added.
                 if !self.counter.as_ref().is_some_and(|c| c.call(counter.0, amount, ttl)) {
-                    return Some(Input::CounterReplied { counter, total: None, unsure: false, took: 0 });
+                    return Some(Input::CounterReplied {
+                        counter,
+                        total: None,
+                        may_have_added: false,
+                        elapsed: 0,
+                    });
                 }
             }
             // Handled by the engine.
@@ -280,18 +289,18 @@
         }
         self.swept = now;
         let identity = context.core.identity();
-        context.observed.publish();
+        context.answer_stats.publish();
         self.publish_zones(now, context.core);
         self.tokens.retain(|name, _| identity.waits_for(name));
         let (waiting, flights, verdicts) = identity.sizes();
         for (what, value) in [
             ("open", context.core.open_calls()),
-            ("attempts", context.attempts),
+            ("attempts", context.attempts_in_flight),
             ("waiting", waiting),
             ("flights", flights),
             ("verdicts", verdicts),
             ("idle_connections", self.pool.len()),
-            ("inbox", context.inbox),
+            ("inbox", context.queued_messages),
         ] {
             metrics::gauge!("frostgauge_now", "what" => what).set(value as f64);
         }
@@ -314,8 +323,8 @@
     /// Gives the core the servers of the fleet's agreed rules, where there are such, and updates the addresses.
     fn apply_agreed_servers(&mut self, now: Micros, core: &mut Core, out: &mut Vec<Command>) {
         if let Some(agreed) = &self.agreed {
-            let entries = agreed.entries(&self.handle.loaded());
-            core.servers(now, entries.into_iter().map(|(_, entry)| entry).collect(), out);
+            let entries = agreed.server_entries(&self.handle.loaded());
+            core.replace_servers(now, entries.into_iter().map(|(_, entry)| entry).collect(), out);
         }
         self.update_addresses();
     }
@@ -330,7 +339,7 @@
         self.addresses.extend(loaded.nodes.iter().map(|n| (n.entry.server, n.address)));
         let mut wanted: Vec<SocketAddr> = loaded.nodes.iter().map(|n| n.address).collect();
         if let Some(agreed) = &self.agreed {
-            for (address, entry) in agreed.entries(&loaded) {
+            for (address, entry) in agreed.server_entries(&loaded) {
                 self.addresses.insert(entry.server, address);
                 wanted.push(address);
             }
--- a/crates/gateway/src/oauth/status.rs
+++ b/crates/gateway/src/oauth/status.rs
@@ -58,18 +58,18 @@
         json!({
             "gateway": loaded.file.gateway.number,
             "pid": std::process::id(),
-            "up_s": now.saturating_sub(context.started) as f64 / 1e6,
+            "up_s": now.saturating_sub(context.started_at) as f64 / 1e6,
             "reloads": self.reloads,
             "open": context.core.open_calls(),
-            "attempts": context.attempts,
-            "inbox": context.inbox,
+            "attempts": context.attempts_in_flight,
+            "inbox": context.queued_messages,
             "longest_batch_ms": context.longest_batch as f64 / 1e3,
             "answers": {
                 "taken": counts.accepted, "served": counts.served, "refused": counts.rejected,
                 "failed": counts.failed, "denied": counts.denied, "left": counts.abandoned,
             },
-            "reasons": context.observed.reasons(),
-            "latency_ms": context.observed.latencies(),
+            "reasons": context.answer_stats.reasons(),
+            "latency_ms": context.answer_stats.latencies(),
             "tokens": {
                 "server": identity.state(now), "waiting": waiting, "flights": flights, "verdicts": verdicts,
                 "asked": tally.asked, "failed": tally.failed, "hits": tally.hits, "stale": tally.stale,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -94,7 +94,7 @@
             let dropped = if self.budget.take(self.clock.now()) {
                 match self.receiver.open(&buf[..n]) {
                     Ok((from, data)) => {
-                        if inbox.send(Message::Peer { from, data: data.to_vec() }).await.is_err() {
+                        if inbox.send(Message::PeerMessage { from, data: data.to_vec() }).await.is_err() {
                             return;
                         }
                         metrics::counter!("frostgauge_peer_taken").increment(1);
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -7,7 +7,7 @@
 
 /// Why a request failed after an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Failed {
+pub enum FailureReason {
     /// The node answered with an error.
     ServerError,
     /// The connection to the node broke.
@@ -43,7 +43,7 @@
         retry_after: Micros,
     },
     /// Failed: it may have run.
-    Failed(Failed),
+    Failed(FailureReason),
 }
 
 /// What goes out in place of a node's answer.
@@ -69,7 +69,7 @@
 }
 
 /// The stable word for a refusal's reason, its status, and what people read.
-pub fn refusal(why: RejectReason) -> (&'static str, u16, &'static str) {
+pub fn rejection_form(why: RejectReason) -> (&'static str, u16, &'static str) {
     match why {
         RejectReason::Quota => ("quota", 429, "The insurer's quota is used up"),
         RejectReason::Ceiling => ("ceiling", 429, "The insurer's hard ceiling is reached"),
@@ -98,10 +98,10 @@
             GatewayAnswer::NotAllowed => "not-allowed",
             GatewayAnswer::FallbackRulesOnly { .. } => "on-ground",
             GatewayAnswer::TokenUnverified { .. } => "no-verdict",
-            GatewayAnswer::Rejected { why, .. } => refusal(*why).0,
-            GatewayAnswer::Failed(Failed::ServerError) => "node-error",
-            GatewayAnswer::Failed(Failed::ConnectionBroken) => "node-broke",
-            GatewayAnswer::Failed(Failed::Timeout) => "timeout",
+            GatewayAnswer::Rejected { why, .. } => rejection_form(*why).0,
+            GatewayAnswer::Failed(FailureReason::ServerError) => "node-error",
+            GatewayAnswer::Failed(FailureReason::ConnectionBroken) => "node-broke",
+            GatewayAnswer::Failed(FailureReason::Timeout) => "timeout",
         }
     }
 
@@ -145,11 +145,11 @@
                 "Nothing was done; try again.",
             ),
             GatewayAnswer::Rejected { why, .. } => {
-                let (_, status, title) = refusal(*why);
+                let (_, status, title) = rejection_form(*why);
                 HttpAnswer::problem(status, kind, title, "Nothing was done; trying again does no harm.")
             }
             GatewayAnswer::Failed(failed) => {
-                let status = if *failed == Failed::Timeout { 504 } else { 502 };
+                let status = if *failed == FailureReason::Timeout { 504 } else { 502 };
                 let title = "No answer came that settles this request";
                 HttpAnswer::problem(status, kind, title, "It may have been carried out.")
             }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -133,7 +133,7 @@
     let Outgoing { bytes, to_head, look, client } = &mut request;
     let last = || match look {
         // Guards against a connection that comes up late, after its client has gone.
-        _ if client.as_ref().is_some_and(Client::has_gone) => None,
+        _ if client.as_ref().is_some_and(Client::is_disconnected) => None,
         Some(look) => look.stamp(bytes),
         None => Some(Cow::Borrowed(&bytes[..])),
     };
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -71,7 +71,7 @@
     }
 
     /// Takes the whole list.
-    pub fn list(&mut self, now: Micros, entries: &[frostgauge::ServerEntry]) {
+    pub fn replace_servers(&mut self, now: Micros, entries: &[frostgauge::ServerEntry]) {
         self.places = entries.iter().map(|e| (e.server, e.zone)).collect();
         let Some(zones) = &mut self.zones else { return };
         let ready = |e: &frostgauge::ServerEntry| e.state == frostgauge::ServerState::Ready;
@@ -83,7 +83,14 @@
     }
 
     /// An attempt or a check ended.
-    pub fn ended(&mut self, now: Micros, server: ServerId, status: Status, took: Micros, load: Option<Load>) {
+    pub fn record_end(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        status: Status,
+        took: Micros,
+        load: Option<Load>,
+    ) {
         let (Some(zones), Some(zone)) = (&mut self.zones, self.places.get(&server)) else { return };
         let end = match status {
             Status::Ok | Status::Error | Status::Rejected => End::Answered,
--- a/crates/gateway/tests/agreed.rs
+++ b/crates/gateway/tests/agreed.rs
@@ -38,7 +38,7 @@
 
 fn host() -> (Host, Arc<AtomicU64>) {
     let (mut host, asked) = (Host::new(), Arc::new(AtomicU64::new(0)));
-    host.core.admit_by(Box::new(Rules(asked.clone())));
+    host.core.set_admission(Box::new(Rules(asked.clone())));
     (host, asked)
 }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -178,8 +178,15 @@
     }
 
     fn ended(&mut self, call_id: u64, attempt: u32, server: ServerId, status: Status) {
-        let input =
-            Input::AttemptEnded { call_id, attempt, server, status, took: 30 * MS, used: None, load: None };
+        let input = Input::AttemptEnded {
+            call_id,
+            attempt,
+            server,
+            status,
+            elapsed: 30 * MS,
+            usage: None,
+            load: None,
+        };
         self.core.handle(self.now, input, &mut self.out);
     }
 
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -5,7 +5,7 @@
 use common::*;
 use frostgauge::{RejectReason, Status};
 use frostgauge_gateway::core::Input;
-use frostgauge_gateway::reply::{Failed, GatewayAnswer};
+use frostgauge_gateway::reply::{FailureReason, GatewayAnswer};
 use frostgauge_proto::bearer::Denied;
 use proptest::prelude::*;
 
@@ -113,17 +113,17 @@
 fn a_client_that_leaves_is_forgotten_wherever_it_stands() {
     let mut host = Host::new();
     let checking = host.call(READ, 1);
-    host.input(Input::ClientGone { call_id: checking });
+    host.input(Input::ClientDisconnected { call_id: checking });
     host.verdict(1, Some("serra"));
     assert!(host.out_of(checking).is_empty() && host.answer(checking).is_none());
     let mut fresh = Host::new();
     let held = hold_one(&mut fresh, 0);
-    fresh.input(Input::ClientGone { call_id: held });
+    fresh.input(Input::ClientDisconnected { call_id: held });
     fresh.pass(2 * S);
     assert!(fresh.sends.iter().all(|s| s.0 != held) && fresh.answer(held).is_none());
     let out = host.call(REPORT, 1);
     assert_eq!(host.out_of(out), [0]);
-    host.input(Input::ClientGone { call_id: out });
+    host.input(Input::ClientDisconnected { call_id: out });
     host.end(out, 0, Status::Reset);
     host.pass(2 * S);
     assert_eq!(host.sends.iter().filter(|s| s.0 == out).count(), 1, "an unsafe request is not repeated");
@@ -150,12 +150,12 @@
         let call = host.call(READ, 1);
         host.verdict(1, Some("serra"));
         if left_first {
-            host.input(Input::ClientGone { call_id: call });
+            host.input(Input::ClientDisconnected { call_id: call });
             host.end(call, 0, Status::ConnectFailed);
             assert!(host.out_of(call).is_empty(), "no further attempt");
         } else {
             host.end(call, 0, Status::ConnectFailed);
-            host.input(Input::ClientGone { call_id: call });
+            host.input(Input::ClientDisconnected { call_id: call });
             assert_eq!(host.out_of(call), [1], "decided before the client was seen to leave");
             // It ends so before its first byte, as its client is gone.
             host.end(call, 1, Status::NotSent);
@@ -179,7 +179,7 @@
             assert_eq!(host.answer(call), Some(None), "the node's");
         } else {
             host.pass(due - host.now);
-            assert_eq!(host.answer(call), Some(Some(GatewayAnswer::Failed(Failed::Timeout))));
+            assert_eq!(host.answer(call), Some(Some(GatewayAnswer::Failed(FailureReason::Timeout))));
             assert!(host.out_of(call).is_empty(), "its attempt is called off, and its answer nobody's");
         }
     }
@@ -191,7 +191,7 @@
     let broke = host.call(REPORT, 1);
     host.verdict(1, Some("serra"));
     host.end(broke, 0, Status::Reset);
-    assert_eq!(host.answer(broke), Some(Some(GatewayAnswer::Failed(Failed::ConnectionBroken))));
+    assert_eq!(host.answer(broke), Some(Some(GatewayAnswer::Failed(FailureReason::ConnectionBroken))));
     let moved = host.call(REPORT, 1);
     host.end(moved, 0, Status::ConnectFailed);
     assert_eq!(host.out_of(moved), [1]);
@@ -259,7 +259,7 @@
     host.verdict(1, Some("serra"));
     let gone = host.running[&(first, 0)];
     let entries: Vec<_> = settings().entries().into_iter().filter(|e| e.server != gone).collect();
-    host.core.servers(host.now, entries, &mut host.out);
+    host.core.replace_servers(host.now, entries, &mut host.out);
     host.settle();
     for _ in 0..50 {
         let call_id = host.call(READ, 1);
@@ -291,7 +291,7 @@
         ));
     }
     assert!(quota > 5, "{quota}");
-    host.core.servers(host.now, vec![], &mut host.out);
+    host.core.replace_servers(host.now, vec![], &mut host.out);
     host.pass(4 * S);
     let call_id = host.call(READ, 2);
     host.verdict(2, Some("serra"));
@@ -361,7 +361,7 @@
                 Do::Left(k) if !open.is_empty() => {
                     let (call_id, _) = open.remove(k % open.len());
                     let answered = host.answers.contains_key(&call_id);
-                    host.input(Input::ClientGone { call_id });
+                    host.input(Input::ClientDisconnected { call_id });
                     prop_assert_eq!(host.answers.contains_key(&call_id), answered);
                 }
                 Do::Pass(ms) => host.pass(ms * MS),
@@ -375,7 +375,7 @@
                     listed = settings().entries();
                     let mut k = 0;
                     listed.retain(|_| { k += 1; mask >> (k - 1) & 1 == 0 });
-                    host.core.servers(host.now, listed.clone(), &mut host.out);
+                    host.core.replace_servers(host.now, listed.clone(), &mut host.out);
                     host.settle();
                 }
                 _ => {}
@@ -424,7 +424,7 @@
     let held: Vec<u64> = asked.into_iter().filter(open).collect();
     assert!(held.len() >= 10, "{} of 20 held", held.len());
     for call_id in &held {
-        host.input(Input::ClientGone { call_id: *call_id });
+        host.input(Input::ClientDisconnected { call_id: *call_id });
     }
     let others = host.sends.len() - sent;
     host.pass(3 * S);
--- a/crates/gateway/tests/pages.rs
+++ b/crates/gateway/tests/pages.rs
@@ -47,7 +47,7 @@
                 engine(zoned(), 1, Clock::default(), executor.clone(), None, None).expect("an engine");
             executor.spawn(engine.run()).detach();
             let (_close, closing) = Closing::new();
-            let metrics = admin::metrics().expect("metrics");
+            let metrics = admin::install_metrics().expect("metrics");
             let pages = admin::serve(staff, handle.clone(), None, metrics, closing.clone(), executor.clone());
             executor.spawn(pages).detach();
             block_on(executor.run(serve(clients, handle, closing, &executor)));
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -6,8 +6,8 @@
 use fixture::assert_recorded;
 use frostgauge::RejectReason;
 use frostgauge_consensus::RuleSource;
-use frostgauge_gateway::fleet_rules::{stamp, RULES_FIELD};
-use frostgauge_gateway::reply::{Failed, GatewayAnswer};
+use frostgauge_gateway::fleet_rules::{rules_field_value, RULES_FIELD};
+use frostgauge_gateway::reply::{FailureReason, GatewayAnswer};
 use frostgauge_gateway::upstream::{Forward, NOT_RUN};
 use frostgauge_proto::bearer::Denied;
 use frostgauge_proto::http::Head;
@@ -59,7 +59,7 @@
         RejectReason::InvalidRequest,
     ];
     let denied = [Denied::Missing, Denied::Malformed, Denied::Invalid, Denied::Scope];
-    let failed = [Failed::ServerError, Failed::ConnectionBroken, Failed::Timeout];
+    let failed = [FailureReason::ServerError, FailureReason::ConnectionBroken, FailureReason::Timeout];
     let retry_after = 1_250_000;
     let mut all: Vec<GatewayAnswer> = denied.map(GatewayAnswer::Denied).to_vec();
     all.extend([GatewayAnswer::UnknownTenant, GatewayAnswer::NotAllowed]);
@@ -90,7 +90,7 @@
 #[test]
 fn the_field_of_the_rules_has_its_name_and_values() {
     assert_eq!(RULES_FIELD, "frostgauge-rules");
-    assert_eq!(stamp(&RuleSource::Lease(BTreeSet::from([3, 2]), 9)), "lease 2 3");
-    assert_eq!(stamp(&RuleSource::Fallback(Some(2))), "ground 2");
-    assert_eq!(stamp(&RuleSource::Fallback(None)), "ground 0");
+    assert_eq!(rules_field_value(&RuleSource::Lease(BTreeSet::from([3, 2]), 9)), "lease 2 3");
+    assert_eq!(rules_field_value(&RuleSource::Fallback(Some(2))), "ground 2");
+    assert_eq!(rules_field_value(&RuleSource::Fallback(None)), "ground 0");
 }
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -78,9 +78,9 @@
 fn advice_to_those_refused_together_is_spread() {
     let mut host = Host::with(&zoned());
     lose(&mut host);
-    host.core.servers(host.now, vec![], &mut host.out);
+    host.core.replace_servers(host.now, vec![], &mut host.out);
     let all = zoned().entries().into_iter().filter(|e| e.zone == 0).collect();
-    host.core.servers(host.now, all, &mut host.out);
+    host.core.replace_servers(host.now, all, &mut host.out);
     host.settle();
     let advice: std::collections::BTreeSet<u64> = (0..40)
         .filter_map(|_| {
@@ -110,7 +110,7 @@
     let mut host = Host::with(&zoned());
     let (report, read) = (enter(&mut host, REPORT), enter(&mut host, READ));
     let gone = zoned().entries().into_iter().filter(|e| e.zone == 1).collect();
-    host.core.servers(host.now, gone, &mut host.out);
+    host.core.replace_servers(host.now, gone, &mut host.out);
     host.settle();
     host.pass(400 * MS);
     host.end(report, 0, Status::Reset);
--- a/crates/platform-gateway/src/front/mod.rs
+++ b/crates/platform-gateway/src/front/mod.rs
@@ -142,7 +142,7 @@
         }
         // Attempts that have not begun end by this, before the engine receives the message.
         drop(answer);
-        self.handle.send(Message::ClientGone(call_id)).await;
+        self.handle.send(Message::ClientDisconnected(call_id)).await;
         Err(End::Close)
     }
 
--- a/crates/platform-gateway/src/host.rs
+++ b/crates/platform-gateway/src/host.rs
@@ -195,7 +195,7 @@
     }
 
     fn start_attempt(&mut self, attempt: Attempt, call: Option<&Call>) -> Task<()> {
-        let Attempt { call_id, attempt, server, timeout, ran, .. } = attempt;
+        let Attempt { call_id, attempt, server, timeout, first_run_sent_at: ran, .. } = attempt;
         let inbox = self.handle.inbox();
         self.servers.sent(server);
         let Some((to, call)) = self.servers.address(server).zip(call) else {
@@ -212,7 +212,8 @@
         self.executor.spawn(async move {
             let request = |left| forward.bytes(to, left);
             let ended =
-                upstream::attempt(&pool, &front.site, (server, to), request, times, client.gone()).await;
+                upstream::attempt(&pool, &front.site, (server, to), request, times, client.disconnected())
+                    .await;
             let _ = inbox.send(Message::Ended { call_id, attempt, ended }).await;
         })
     }
@@ -243,12 +244,12 @@
             }
             // A platform's gateway has no shared counter: the call is rejected, the amount not added.
             Command::AddToCounter { counter, .. } => {
-                Some(Input::CounterReplied { counter, total: None, unsure: false, took: 0 })
+                Some(Input::CounterReplied { counter, total: None, may_have_added: false, elapsed: 0 })
             }
             // Tokens and zones are not used here; the rest is executed by the engine itself.
             Command::Introspect { .. }
-            | Command::Check { .. }
-            | Command::Zone(_)
+            | Command::CheckHealth { .. }
+            | Command::LogZoneChange(_)
             | Command::Send { .. }
             | Command::Cancel { .. }
             | Command::Deliver { .. }
--- a/crates/platform-gateway/src/peers.rs
+++ b/crates/platform-gateway/src/peers.rs
@@ -64,7 +64,7 @@
             let Some(from) = self.numbers.get(&from).copied().filter(|_| n <= MAX_DATAGRAM_BYTES) else {
                 continue;
             };
-            if inbox.send(Message::Peer { from, data: buffer[..n].to_vec() }).await.is_err() {
+            if inbox.send(Message::PeerMessage { from, data: buffer[..n].to_vec() }).await.is_err() {
                 return;
             }
         }
--- a/crates/simulator/src/attempts.rs
+++ b/crates/simulator/src/attempts.rs
@@ -70,7 +70,8 @@
         let load = Some(load).filter(|_| status == Status::Ok);
         let took = self.now + after - sent;
         let (used, incarnation) = (None, self.gateways[gateway].incarnation);
-        let input = Input::AttemptEnded { call_id, attempt, server, status, took, used, load };
+        let input =
+            Input::AttemptEnded { call_id, attempt, server, status, elapsed: took, usage: used, load };
         self.at(self.now + after, Event::Input(gateway, incarnation, input));
     }
 
@@ -89,6 +90,9 @@
         let Some((node, sent)) = self.gateways[k].out.remove(&(call_id, attempt)) else { return };
         let server = self.base.nodes[node].entry.server;
         let took = self.now - sent;
-        self.input(k, Input::AttemptEnded { call_id, attempt, server, status, took, used: None, load: None });
+        self.input(
+            k,
+            Input::AttemptEnded { call_id, attempt, server, status, elapsed: took, usage: None, load: None },
+        );
     }
 }
--- a/crates/simulator/src/counter.rs
+++ b/crates/simulator/src/counter.rs
@@ -119,7 +119,7 @@
         match &mut self.gateways[k].caller {
             Some(caller) => caller.calls.call(now, counter.0, amount, ttl, &mut out),
             None => {
-                let input = Input::CounterReplied { counter, total: None, unsure: false, took: 0 };
+                let input = Input::CounterReplied { counter, total: None, may_have_added: false, elapsed: 0 };
                 return self.at(now, Event::Input(k, self.gateways[k].incarnation, input));
             }
         }
@@ -318,7 +318,12 @@
                         model.seen.wrong += u64::from(wrong);
                         model.seen.unsure += u64::from(unsure);
                     }
-                    let input = Input::CounterReplied { counter: CounterId(counter), total, unsure, took };
+                    let input = Input::CounterReplied {
+                        counter: CounterId(counter),
+                        total,
+                        may_have_added: unsure,
+                        elapsed: took,
+                    };
                     self.at(now, Event::Input(k, self.gateways[k].incarnation, input));
                 }
             }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -255,7 +255,7 @@
                     gateway.starts = entries.iter().map(|e| e.ready_at).collect();
                     let there: Vec<ServerEntry> =
                         entries.iter().filter(|e| e.state != ServerState::Removed).cloned().collect();
-                    gateway.core.servers(self.now, there, &mut out);
+                    gateway.core.replace_servers(self.now, there, &mut out);
                     self.settle(k, out);
                 }
             }
@@ -318,7 +318,7 @@
                     self.answered(k, call_id);
                 }
                 Command::AddToCounter { counter, amount, ttl } => self.count(k, counter, amount, ttl),
-                Command::Check { server } => {
+                Command::CheckHealth { server } => {
                     let node = self.ids[&server];
                     let cut = self.cuts.contains(&(k as u32 % ZONES, self.nodes[node].zone));
                     let ok = self.nodes[node].alive && !cut;
@@ -329,7 +329,7 @@
                     };
                     self.at(
                         self.now + took,
-                        Event::Input(k, incarnation, Input::Checked { server, status, took }),
+                        Event::Input(k, incarnation, Input::HealthChecked { server, status, elapsed: took }),
                     );
                 }
                 _ => {}
