--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,11 +1,12 @@
-//! What the gateway decides, without sockets and clock: events in with the time, commands out.
+//! The gateway's decisions, without sockets and clock: it takes events with their time and returns commands.
 //!
-//! A request's way: [`Input::Call`] → `identity` (a verdict, or none) → its insurer → the library's
-//! `Event::Request` → [`Command::Send`] → [`Input::AttemptEnded`] → [`Command::Deliver`] or
-//! [`Command::Answer`]. Each call gets exactly one of the last two, unless its client leaves first.
+//! Stages of a request: [`Input::Call`] → `identity` (verdict on the token) → lookup of the tenant → the
+//! library's `Event::Request` → [`Command::Send`] → [`Input::AttemptEnded`] → [`Command::Deliver`] or
+//! [`Command::Answer`]. Each call gets exactly one of the last two, unless its client disconnects first.
 //!
-//! A revoked token, as learnt by any question about it: what has not been sent is not sent any more and is
-//! answered 401; what was sent runs on and its answer is delivered, since calling it off would not undo it.
+//! When an introspection request shows that a token is revoked, calls with that token of which no attempt was
+//! sent are answered 401. Attempts already sent continue and their response is delivered, since cancelling
+//! them would not undo their effect.
 
 use crate::clock::Micros;
 pub use crate::event::{CallId, CallMetadata, Command, Input};
@@ -20,59 +21,60 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a call without its final answer waits for.
+/// How far a call without its final answer has come.
 #[derive(Debug)]
 enum Stage {
-    /// The verdict on its token.
+    /// The call waits for the verdict on its token.
     AwaitingVerdict,
-    /// The decision library.
+    /// The decision library has the request; the grant is sent along with each attempt.
     Submitted(Arc<Grant>),
 }
 
-/// A call without its final answer.
+/// State of a call without its final answer.
 #[derive(Debug)]
 struct OpenCall {
     metadata: CallMetadata,
     stage: Stage,
-    /// Attempts so far.
+    /// Number of attempts sent so far.
     attempts: u32,
-    /// How the attempt that ended last ended.
+    /// Status of the attempt that ended last.
     last_status: Option<Status>,
 }
 
-/// Admission rules that apply before the decision library, besides the settings.
+/// Admission rules that are applied before a request reaches the decision library, in addition to the settings.
 pub trait Admission: Send {
-    /// Whether a tenant's request of a class is admitted; `known`: the tenant, if the settings name it.
+    /// Decides whether a tenant's request of a class is admitted, and returns the tenant's parameters. `configured` is
+    /// the tenant as the settings define it, if they do.
     ///
     /// # Errors
-    /// The final answer.
+    /// The final answer to a request that is not admitted.
     fn admit(
         &mut self,
         now: Micros,
         subject: &str,
         class: usize,
-        known: Option<Tenant>,
+        configured: Option<Tenant>,
     ) -> Result<Tenant, GatewayAnswer>;
 }
 
-/// Counters of calls, for operators.
+/// Numbers of calls by outcome, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallStats {
-    /// Calls accepted.
+    /// Calls handed in, whatever their outcome.
     pub accepted: u64,
-    /// Answered with a server's response.
+    /// Calls answered with a server's response.
     pub served: u64,
-    /// Rejected; nothing has run, a retry does no harm.
+    /// Calls rejected: no attempt has run, so a retry is safe.
     pub rejected: u64,
-    /// Failed; the request may have run.
+    /// Calls that failed: an attempt may have run.
     pub failed: u64,
-    /// Denied for their token or tenant: 401, 403.
+    /// Calls denied because of their token or tenant (401 or 403).
     pub denied: u64,
-    /// Their client closed its connection first.
+    /// Calls whose client closed its connection before the final answer.
     pub abandoned: u64,
 }
 
-/// The decisions of one gateway, and the state that they use.
+/// The decisions of one gateway with their state.
 pub struct Core {
     library: Gateway<ZoneGate>,
     identity: Identity,
@@ -80,60 +82,62 @@
     calls: BTreeMap<CallId, OpenCall>,
     tenants: Arc<BTreeMap<String, Tenant>>,
     admission: Option<Box<dyn Admission>>,
-    /// The grant of calls whose tenant is known without a token.
-    no_grant: Arc<Grant>,
+    /// Empty grant, for calls whose tenant is known without a token.
+    empty_grant: Arc<Grant>,
     stats: CallStats,
-    /// Subtracted from a client's timeout for the answer's way back, µs.
+    /// Part of a client's timeout that is reserved for sending it the answer, µs.
     answer_margin: Micros,
     max_open_calls: usize,
     actions: Vec<Action>,
     steps: Vec<Step>,
 }
 
-/// The configuration of `identity`, from the settings.
+/// Converts the settings into the configuration of `identity`.
 fn identity_config(loaded: &Loaded) -> frostgauge_identity::Config {
+    /// Microseconds per millisecond.
     const MS: Micros = 1_000;
-    let i = loaded.introspection();
+    let settings = loaded.introspection();
     frostgauge_identity::Config {
-        fresh: i.fresh_ms * MS,
-        stale: i.stale_ms * MS,
-        negative: i.negative_ms * MS,
-        timeout: i.timeout_ms * MS,
-        flights: i.flights,
-        waiters: i.waiters,
-        entries: i.entries,
+        fresh: settings.fresh_ms * MS,
+        stale: settings.stale_ms * MS,
+        negative: settings.negative_ms * MS,
+        timeout: settings.timeout_ms * MS,
+        flights: settings.flights,
+        waiters: settings.waiters,
+        entries: settings.entries,
     }
 }
 
-/// A number from 0 up to 1 that differs between calls, so that retries do not come back together.
+/// Returns a number in [0, 1) that differs between calls, so that rejected clients do not all retry at the same time.
 fn jitter(call_id: CallId) -> f64 {
     (call_id.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl Core {
-    /// A core that starts now.
+    /// Creates a core that checks tokens, and starts its timers at `now`.
     ///
     /// # Errors
-    /// Settings that the library does not take.
+    /// The decision library rejects the settings.
     pub fn new(loaded: &Loaded, seed: u64, now: Micros) -> Result<Core, frostgauge::SettingsError> {
         let identity = Identity::new(identity_config(loaded), seed);
         let library = Gateway::with_gate(loaded.library.clone(), seed, now, ZoneGate::new(loaded, now))?;
-        let mut core = Core::of(library, identity, 0);
+        let mut core = Core::from_parts(library, identity, 0);
         core.configure(now, loaded, &mut Vec::new());
         Ok(core)
     }
 
-    /// A core for tenants who need no verdict, with every zone available; at most so many calls at once.
+    /// Creates a core for calls whose tenant is known without a token. Every zone is always available to it; at most
+    /// `max_open_calls` calls are open at once.
     ///
     /// # Errors
-    /// Settings that the library does not take.
+    /// The decision library rejects the settings.
     pub fn without_tokens(
         library: frostgauge::Settings,
         max_open_calls: usize,
         seed: u64,
         now: Micros,
     ) -> Result<Core, frostgauge::SettingsError> {
-        let off = frostgauge_identity::Config {
+        let no_introspection = frostgauge_identity::Config {
             fresh: 0,
             stale: 0,
             negative: 0,
@@ -143,10 +147,10 @@
             entries: 0,
         };
         let library = Gateway::with_gate(library, seed, now, ZoneGate::default())?;
-        Ok(Core::of(library, Identity::new(off, seed), max_open_calls))
+        Ok(Core::from_parts(library, Identity::new(no_introspection, seed), max_open_calls))
     }
 
-    fn of(library: Gateway<ZoneGate>, identity: Identity, max_open_calls: usize) -> Core {
+    fn from_parts(library: Gateway<ZoneGate>, identity: Identity, max_open_calls: usize) -> Core {
         Core {
             library,
             identity,
@@ -154,7 +158,7 @@
             calls: BTreeMap::new(),
             tenants: Arc::default(),
             admission: None,
-            no_grant: Arc::default(),
+            empty_grant: Arc::default(),
             stats: CallStats::default(),
             answer_margin: 0,
             max_open_calls,
@@ -163,12 +167,12 @@
         }
     }
 
-    /// Applies further admission rules before the decision library.
+    /// Sets admission rules that are applied in addition to the settings.
     pub fn set_admission(&mut self, admission: Box<dyn Admission>) {
         self.admission = Some(admission);
     }
 
-    /// Applies settings that [`Loaded::needs_restart`] accepts while it runs.
+    /// Applies changed settings. They must be ones that [`Loaded::needs_restart`] allows without a restart.
     pub fn configure(&mut self, now: Micros, loaded: &Loaded, out: &mut Vec<Command>) {
         self.tenants = Arc::new(loaded.tenants.clone());
         self.answer_margin = loaded.file.limits.answer_margin_ms * 1_000;
@@ -177,14 +181,14 @@
         self.replace_servers(now, loaded.entries(), out);
     }
 
-    /// Replaces the endpoint list.
+    /// Replaces the list of servers.
     pub fn replace_servers(&mut self, now: Micros, entries: Vec<ServerEntry>, out: &mut Vec<Command>) {
         self.library.gate.replace_servers(now, &entries);
         self.decide(now, Event::Servers { kind: ListKind::Full, entries }, out);
         self.report_zone_changes(out);
     }
 
-    /// Applies a watch event: a whole endpoint list, or changes to it.
+    /// Applies a watch event: a complete list of servers, or changes to the list.
     pub fn apply_watch_event(
         &mut self,
         now: Micros,
@@ -195,17 +199,17 @@
         self.decide(now, Event::Servers { kind, entries }, out);
     }
 
-    /// Counters so far.
+    /// Numbers of calls by outcome, since the start.
     pub fn stats(&self) -> CallStats {
         self.stats
     }
 
-    /// The decisions about tokens.
+    /// The cache of token verdicts and its pending introspection requests.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// The decisions about zones.
+    /// The state of the zones; `None` if the settings have no `zone_policy`.
     pub fn zones(&self) -> Option<&Zones> {
         self.library.gate.zones.as_ref()
     }
@@ -216,38 +220,38 @@
         }
     }
 
-    /// Calls without their final answer.
+    /// Number of calls without their final answer.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// When [`Core::advance`] is next needed.
+    /// When [`Core::advance`] must be called next, µs; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Micros> {
         self.timers.next().into_iter().chain(self.identity.next_wake()).min()
     }
 
-    /// Handles one input. Within a batch, hand in all that has happened before [`Core::advance`]: after a
-    /// stall, answers that came in time must be seen before the deadlines that passed meanwhile.
+    /// Handles one input. Hand in all inputs of a batch before calling [`Core::advance`]: after a stall, responses that
+    /// arrived in time must be handled before the deadlines that passed in the meantime.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::Call(metadata) => self.call(now, metadata, out),
             Input::AuthenticatedCall { metadata, tenant } => {
                 self.authenticated_call(now, metadata, tenant, out)
             }
-            Input::ClientDisconnected { call_id } => self.client_gone(now, call_id, out),
+            Input::ClientDisconnected { call_id } => self.client_disconnected(now, call_id, out),
             Input::Introspected { flight, answer } => {
                 let mut steps = std::mem::take(&mut self.steps);
                 self.identity.answered(now, flight, answer, &mut steps);
-                self.carry_out(now, steps, out);
+                self.execute_steps(now, steps, out);
             }
             Input::AttemptEnded { call_id, attempt, server, status, elapsed, usage, load } => {
                 let id = RequestId(call_id);
-                let serves = status == Status::Ok;
+                let is_served = status == Status::Ok;
                 let call = self.calls.get_mut(&call_id);
-                let request_finished = call.is_none() || serves;
+                let request_finished = call.is_none() || is_served;
                 if let Some(call) = call {
                     call.last_status = Some(status);
-                    if serves {
+                    if is_served {
                         self.calls.remove(&call_id);
                         self.stats.served += 1;
                         out.push(Command::Deliver { call_id, attempt });
@@ -255,7 +259,6 @@
                 }
                 self.library.gate.record_end(now, server, status, elapsed, load);
                 self.report_zone_changes(out);
-                let settled = None;
                 let event = Event::AttemptEnded {
                     id,
                     attempt,
@@ -264,7 +267,7 @@
                     elapsed,
                     request_finished,
                     usage,
-                    settled_units: settled,
+                    settled_units: None,
                     load,
                 };
                 self.decide(now, event, out);
@@ -289,12 +292,12 @@
         }
     }
 
-    /// Time has passed: fires what is due.
+    /// Fires the timers that are due at `now`.
     pub fn advance(&mut self, now: Micros, out: &mut Vec<Command>) {
         if self.identity.next_wake().is_some_and(|at| at <= now) {
             let mut steps = std::mem::take(&mut self.steps);
             self.identity.tick(now, &mut steps);
-            self.carry_out(now, steps, out);
+            self.execute_steps(now, steps, out);
         }
         if let Some(zones) = &mut self.library.gate.zones {
             zones.advance(now);
@@ -311,10 +314,10 @@
         let Some(timeout) = self.accept(now, metadata, out) else { return };
         let mut steps = std::mem::take(&mut self.steps);
         self.identity.enter(now, call_id, token, timeout, &mut steps);
-        self.carry_out(now, steps, out);
+        self.execute_steps(now, steps, out);
     }
 
-    /// A call whose tenant is known already goes on where a verdict would have brought it.
+    /// Submits a call whose tenant is already known; it needs no verdict.
     fn authenticated_call(
         &mut self,
         now: Micros,
@@ -324,15 +327,15 @@
     ) {
         let call_id = metadata.call_id;
         if self.accept(now, metadata, out).is_some() {
-            self.submit(now, call_id, self.no_grant.clone(), tenant, out);
+            self.submit(now, call_id, self.empty_grant.clone(), tenant, out);
         }
     }
 
-    /// Registers a call; what is left of its timeout, or `None` where it is answered at once.
+    /// Registers a call. Returns what is left of its timeout, µs, or `None` if the call was rejected at once.
     fn accept(&mut self, now: Micros, metadata: CallMetadata, out: &mut Vec<Command>) -> Option<Micros> {
         self.stats.accepted += 1;
         let call_id = metadata.call_id;
-        // Its wait in the queue, and the answer's way back, are subtracted from its client's timeout.
+        // The time that the call was queued and the margin for sending the answer count against its timeout.
         let elapsed = now.saturating_sub(metadata.arrived) + self.answer_margin;
         let timeout = metadata.timeout.saturating_sub(elapsed);
         let full = self.calls.len() >= self.max_open_calls;
@@ -348,7 +351,7 @@
         Some(timeout)
     }
 
-    fn client_gone(&mut self, now: Micros, call_id: CallId, out: &mut Vec<Command>) {
+    fn client_disconnected(&mut self, now: Micros, call_id: CallId, out: &mut Vec<Command>) {
         let Some(call) = self.calls.remove(&call_id) else { return };
         self.stats.abandoned += 1;
         match call.stage {
@@ -377,37 +380,37 @@
         out.push(Command::Answer { call_id, answer });
     }
 
-    /// Executes what `identity` decided.
-    fn carry_out(&mut self, now: Micros, mut steps: Vec<Step>, out: &mut Vec<Command>) {
+    /// Executes the steps that `identity` returned.
+    fn execute_steps(&mut self, now: Micros, mut steps: Vec<Step>, out: &mut Vec<Command>) {
         for step in steps.drain(..) {
             match step {
                 Step::Ask { flight, token, timeout } => {
                     out.push(Command::Introspect { flight, token, timeout });
                 }
                 Step::Release { waiter, outcome } => match outcome {
-                    Outcome::Granted(grant) => self.granted(now, waiter, grant, out),
+                    Outcome::Granted(grant) => self.token_granted(now, waiter, grant, out),
                     Outcome::Denied => self.answer(waiter, GatewayAnswer::Denied(Denied::Invalid), out),
                     Outcome::Unavailable { retry_after } => {
                         self.answer(waiter, GatewayAnswer::TokenUnverified { retry_after }, out);
                     }
                 },
-                Step::Revoked { token } => self.revoked(now, token, out),
+                Step::Revoked { token } => self.token_revoked(now, token, out),
             }
         }
         self.steps = steps;
     }
 
-    /// A call with a valid token goes on to the decision library.
-    fn granted(&mut self, now: Micros, call_id: CallId, grant: Arc<Grant>, out: &mut Vec<Command>) {
+    /// Submits a call whose token was found valid, if scope, tenant and admission rules allow it.
+    fn token_granted(&mut self, now: Micros, call_id: CallId, grant: Arc<Grant>, out: &mut Vec<Command>) {
         let Some(call) = self.calls.get_mut(&call_id) else { return };
         let metadata = &call.metadata;
-        if !metadata.scope.is_empty() && !grant.scopes.iter().any(|s| **s == *metadata.scope) {
+        if !metadata.scope.is_empty() && !grant.scopes.iter().any(|scope| **scope == *metadata.scope) {
             return self.answer(call_id, GatewayAnswer::Denied(Denied::Scope), out);
         }
-        let known = self.tenants.get(&grant.subject).copied();
+        let configured = self.tenants.get(&grant.subject).copied();
         let admitted = match &mut self.admission {
-            Some(admission) => admission.admit(now, &grant.subject, metadata.class, known),
-            None => known.ok_or(GatewayAnswer::UnknownTenant),
+            Some(admission) => admission.admit(now, &grant.subject, metadata.class, configured),
+            None => configured.ok_or(GatewayAnswer::UnknownTenant),
         };
         match admitted {
             Ok(tenant) => self.submit(now, call_id, grant, tenant, out),
@@ -415,7 +418,7 @@
         }
     }
 
-    /// A call whose tenant is known goes to the decision library.
+    /// Hands a call whose tenant is known to the decision library.
     fn submit(
         &mut self,
         now: Micros,
@@ -442,20 +445,21 @@
         self.decide(now, event, out);
     }
 
-    /// Denies the calls with this token of which nothing was sent yet: a request must not be held for longer than its
-    /// token is valid.
-    fn revoked(&mut self, now: Micros, token: TokenName, out: &mut Vec<Command>) {
+    /// Denies the calls with this token of which no attempt was sent: the library must not hold a request for longer
+    /// than its token is valid.
+    fn token_revoked(&mut self, now: Micros, token: TokenName, out: &mut Vec<Command>) {
         let unsent = |call: &OpenCall| {
             call.metadata.token == token && call.attempts == 0 && matches!(call.stage, Stage::Submitted(_))
         };
-        let held: Vec<u64> = self.calls.iter().filter(|(_, o)| unsent(o)).map(|(t, _)| *t).collect();
-        for call_id in held {
+        let denied: Vec<CallId> =
+            self.calls.iter().filter(|(_, call)| unsent(call)).map(|(call_id, _)| *call_id).collect();
+        for call_id in denied {
             self.answer(call_id, GatewayAnswer::Denied(Denied::Invalid), out);
             self.decide(now, Event::ClientDisconnected { id: RequestId(call_id) }, out);
         }
     }
 
-    /// Hands an event to the decision library and turns its actions into commands.
+    /// Hands an event to the decision library and converts its actions into commands.
     fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.actions);
         {
@@ -470,19 +474,20 @@
                         out.push(Command::Send { call_id: id.0, attempt, server, timeout, grant });
                     }
                     Action::Reject { id, retry_after, reason: why } => {
-                        let advice =
+                        let closed_zones =
                             self.library.gate.zones.as_ref().filter(|_| why == RejectReason::ZoneClosed);
-                        let retry_after = advice.map_or(retry_after, |z| z.advice(jitter(id.0)));
+                        let retry_after =
+                            closed_zones.map_or(retry_after, |zones| zones.advice(jitter(id.0)));
                         self.answer(id.0, GatewayAnswer::Rejected { why, retry_after }, out);
                     }
                     Action::Fail { id } => {
-                        let last = self.calls.get(&id.0).and_then(|call| call.last_status);
-                        let failed = match last {
+                        let last_status = self.calls.get(&id.0).and_then(|call| call.last_status);
+                        let reason = match last_status {
                             Some(Status::Error) => FailureReason::ServerError,
                             Some(Status::Reset) => FailureReason::ConnectionBroken,
                             _ => FailureReason::Timeout,
                         };
-                        self.answer(id.0, GatewayAnswer::Failed(failed), out);
+                        self.answer(id.0, GatewayAnswer::Failed(reason), out);
                     }
                     Action::Cancel { id, attempt } => out.push(Command::Cancel { call_id: id.0, attempt }),
                     Action::Timer { at, timer } => self.timers.set(at, timer),
@@ -491,7 +496,7 @@
                     Action::AddToCounter { counter, amount, ttl } => {
                         out.push(Command::AddToCounter { counter, amount, ttl });
                     }
-                    // The list comes by reload; there is nothing to subscribe to.
+                    // The host hands in every list of servers unasked, so there is nothing to subscribe to.
                     Action::SubscribeToServers => {}
                     Action::Log { text } => out.push(Command::Log(text)),
                 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,6 +1,6 @@
-//! The one task that owns the core: messages arrive from sockets, commands go out to them. What embeds it,
-//! beyond calls and their attempts, is a [`Host`]: with tokens and a settings file ([`crate::oauth`]), or on the
-//! platform.
+//! The task that owns the core. It receives messages from tasks that use sockets, hands them to the core and
+//! executes the core's commands. Whatever differs between deployments is behind the trait [`Host`]: the host in
+//! [`crate::oauth`] uses tokens and a settings file, the platform gateway has its own.
 
 use crate::clock::{Clock, Micros};
 use crate::core::{CallId, Command, Core, Input};
@@ -16,25 +16,25 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Messages queued for the engine; a front that finds the queue full waits, and so do its clients.
+/// Capacity of the engine's message queue; a front that finds it full waits, and its clients wait with it.
 const MAX_QUEUED_MESSAGES: usize = 16 << 10;
-/// Messages handled in one batch, before timers are checked.
+/// Maximum number of messages handled in one batch before timers are checked.
 const MAX_BATCH_MESSAGES: usize = 512;
 
-/// What embeds an engine: it knows who the callers are and how requests are forwarded, and has events of its own.
+/// The environment of an engine: it identifies callers, forwards requests, and may have events of its own.
 pub trait Host: Sized + Send + 'static {
-    /// The caller of a request and what it asks for.
+    /// The caller of a request and the kind of request.
     type Caller: std::fmt::Debug + Send;
-    /// What is needed to forward a request.
+    /// The data needed to forward a request to a server.
     type Forward: std::fmt::Debug + Send;
-    /// Events beside calls and attempts.
+    /// Events other than those of calls and attempts.
     type Event: std::fmt::Debug + Send;
-    /// What fronts share with the engine.
+    /// Data that fronts share with the host.
     type Shared: Clone + std::fmt::Debug + Send + Sync;
 
-    /// Registers a call; the input with which it enters the core.
+    /// Registers a call and returns the core's input for it.
     fn register_call(&mut self, call: &Call<Self>) -> Input;
-    /// Handles an event of the host's own.
+    /// Handles an event of this host.
     fn handle_event(
         &mut self,
         now: Micros,
@@ -42,11 +42,13 @@
         context: EngineContext<'_>,
         out: &mut Vec<Command>,
     );
-    /// Starts an attempt; its task hands in [`Message::Ended`] exactly once, and dropping it ends the attempt.
+    /// Starts an attempt. The returned task sends [`Message::Ended`] exactly once; dropping the task cancels the attempt.
+    /// `call` is `None` if the call has had its final answer.
     fn start_attempt(&mut self, attempt: Attempt, call: Option<&Call<Self>>) -> Task<()>;
-    /// An attempt ended.
+    /// Called when an attempt at `server` has ended or was cancelled.
     fn attempt_ended(&mut self, _server: ServerId) {}
-    /// Executes any other command; returns an input if the command has ended with it.
+    /// Executes a command that the engine does not execute itself. Returns an input if the command has already
+    /// completed.
     fn execute(&mut self, now: Micros, command: Command) -> Option<Input>;
     /// Called after each batch of messages.
     fn after_batch(&mut self, _now: Micros, _context: EngineContext<'_>) {}
@@ -55,80 +57,80 @@
 /// An attempt to be started.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The request.
+    /// Number of the call.
     pub call_id: CallId,
-    /// Its attempt.
+    /// Number of the attempt within the call, from 0.
     pub attempt: u32,
-    /// Where to.
+    /// The server to send to.
     pub server: ServerId,
-    /// Its time-out.
+    /// Timeout of the attempt, µs.
     pub timeout: Micros,
-    /// Whose request it is.
+    /// The caller's verified identity and scopes.
     pub grant: Arc<frostgauge_identity::Grant>,
-    /// When the request's first attempt that may have run was sent.
+    /// When the call's first attempt that may have run was sent, µs; `None` if there is none.
     pub first_run_sent_at: Option<Micros>,
 }
 
-/// What a host may see and use of its engine.
+/// The parts of an engine that its host may use.
 pub struct EngineContext<'a> {
-    /// The decisions.
+    /// The core.
     pub core: &'a mut Core,
-    /// Answers so far.
+    /// Statistics of the final answers since the start.
     pub answer_stats: &'a AnswerStats,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub attempts_in_flight: usize,
-    /// Messages queued.
+    /// Number of messages in the engine's queue.
     pub queued_messages: usize,
-    /// When the engine started.
+    /// When the engine started, µs.
     pub started_at: Micros,
-    /// Duration of the longest batch so far: how long a message may have waited in the queue.
+    /// Duration of the longest batch since the start, µs: a message may have been queued for that long.
     pub longest_batch: Micros,
 }
 
 /// A request, as a front submits it.
 #[derive(Debug)]
 pub struct Call<H: Host> {
-    /// Its number, from [`Handle::next_call_id`].
+    /// Number of the call, from [`Handle::next_call_id`].
     pub call_id: CallId,
-    /// Who calls.
+    /// The caller.
     pub caller: H::Caller,
-    /// When the request was complete.
+    /// When the request had been read completely, µs.
     pub arrived: Micros,
-    /// Its client's timeout, µs.
+    /// The client's timeout, counted from `arrived`, µs.
     pub timeout: Micros,
-    /// Its client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// What to forward.
+    /// The data to forward to a server.
     pub forward: H::Forward,
-    /// Receives the one reply; has capacity for one.
+    /// Channel for the one reply, with capacity 1.
     pub reply: Sender<Reply>,
 }
 
 impl<H: Host> Call<H> {
-    /// Whether its client is still there, for an attempt to look at.
+    /// The call's client, from which an attempt sees whether it is still connected.
     pub fn client(&self) -> Client {
         Client::of(&self.reply)
     }
 }
 
-/// The client of a call: it has gone once nobody can take the reply any more.
+/// The client of a call. It counts as disconnected once the receiver of the reply is dropped.
 #[derive(Clone, Debug)]
 pub struct Client {
     reply: Sender<Reply>,
 }
 
 impl Client {
-    /// Whose reply goes here.
+    /// The client that waits for a reply on this channel.
     pub fn of(reply: &Sender<Reply>) -> Client {
         Client { reply: reply.clone() }
     }
 
-    /// Whether it has gone.
+    /// Whether the client has disconnected.
     pub fn is_disconnected(&self) -> bool {
         self.reply.is_closed()
     }
 
-    /// Waits until it has gone.
+    /// Waits until the client has disconnected.
     pub async fn disconnected(&self) {
         self.reply.closed().await;
     }
@@ -139,54 +141,54 @@
 pub enum Reply {
     /// A server's response.
     Server(Box<Response>),
-    /// An answer that the gateway gives itself.
+    /// The gateway's own answer.
     Gateway(GatewayAnswer),
 }
 
-/// What comes in.
+/// A message to the engine.
 #[derive(Debug)]
 pub enum Message<H: Host> {
-    /// A call.
+    /// A request was read.
     Call(Box<Call<H>>),
     /// A call's client closed its connection.
     ClientDisconnected(CallId),
     /// An attempt ended.
     Ended {
-        /// The request.
+        /// Number of the call.
         call_id: CallId,
-        /// Its attempt.
+        /// Number of the attempt within the call.
         attempt: u32,
-        /// How.
+        /// The result.
         ended: Ended,
     },
     /// A probe ended.
     Probed {
-        /// The node.
+        /// The probed server.
         server: ServerId,
-        /// How.
+        /// The result.
         ended: Ended,
     },
-    /// A message of another gateway.
+    /// A message from another gateway arrived.
     PeerMessage {
-        /// Its number.
+        /// Number of the sending gateway.
         from: usize,
-        /// The message.
+        /// The encoded message.
         data: Vec<u8>,
     },
-    /// An event of the host's own.
+    /// An event of the host.
     Host(H::Event),
-    /// The engine ends.
+    /// Ends the engine.
     Stop,
 }
 
-/// What a front needs of the engine.
+/// Access to an engine for fronts and other tasks.
 #[derive(Debug)]
 pub struct Handle<H: Host> {
     inbox: Sender<Message<H>>,
     next_call: Arc<AtomicU64>,
-    /// What the host shares with fronts.
+    /// Data that the host shares with fronts.
     pub shared: H::Shared,
-    /// The clock that the engine goes by.
+    /// The engine's clock.
     pub clock: Clock,
 }
 
@@ -202,29 +204,29 @@
 }
 
 impl<H: Host> Handle<H> {
-    /// A handle, and what an engine takes messages from.
+    /// Creates a handle and the receiving end of its queue, for [`Engine::new`].
     pub fn new(clock: Clock, shared: H::Shared) -> (Handle<H>, Receiver<Message<H>>) {
         let (inbox, messages) = async_channel::bounded(MAX_QUEUED_MESSAGES);
-        // Call ids of earlier incarnations are distinguished by the start time.
+        // Call ids restart at 1 with each process; where they leave it, the start time tells processes apart.
         (Handle { inbox, next_call: Arc::new(AtomicU64::new(1)), shared, clock }, messages)
     }
 
-    /// A number for the next call.
+    /// Returns a call id that this process has not used before.
     pub fn next_call_id(&self) -> CallId {
         self.next_call.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Where messages go, for tasks that send many.
+    /// A sender into the engine's queue, for tasks that send many messages.
     pub fn inbox(&self) -> Sender<Message<H>> {
         self.inbox.clone()
     }
 
-    /// Hands in a message; false once the engine has ended.
+    /// Sends a message, and waits while the queue is full. Returns false once the engine has ended.
     pub async fn send(&self, message: Message<H>) -> bool {
         self.inbox.send(message).await.is_ok()
     }
 
-    /// Hands in a message without waiting; false if there is no room.
+    /// Sends a message without waiting. Returns false if the queue is full or the engine has ended.
     pub fn try_send(&self, message: Message<H>) -> bool {
         self.inbox.try_send(message).is_ok()
     }
@@ -233,32 +235,35 @@
 /// A call without its final answer.
 struct OpenCall<H: Host> {
     call: Box<Call<H>>,
-    /// When its first attempt that may have run was sent.
-    ran: Option<Micros>,
+    /// When the call's first attempt that may have run was sent, µs.
+    first_run_sent_at: Option<Micros>,
 }
 
+/// An attempt in flight.
 struct RunningAttempt {
+    /// When it was sent, µs.
     sent: Micros,
     server: ServerId,
     task: Task<()>,
 }
 
-/// The engine.
+/// The task that owns a core and its host.
 pub struct Engine<H: Host> {
     core: Core,
     clock: Clock,
     inbox: Receiver<Message<H>>,
     host: H,
     calls: BTreeMap<CallId, OpenCall<H>>,
+    /// Attempts in flight, by call and number of the attempt.
     running: BTreeMap<(CallId, u32), RunningAttempt>,
-    started: Micros,
+    started_at: Micros,
     throttle: Throttle,
-    observed: AnswerStats,
+    answer_stats: AnswerStats,
     longest_batch: Micros,
 }
 
 impl<H: Host> Engine<H> {
-    /// An engine that starts now.
+    /// Creates an engine; the current time counts as its start.
     pub fn new(core: Core, host: H, clock: Clock, inbox: Receiver<Message<H>>) -> Engine<H> {
         Engine {
             core,
@@ -267,9 +272,9 @@
             host,
             calls: BTreeMap::new(),
             running: BTreeMap::new(),
-            started: clock.now(),
+            started_at: clock.now(),
             throttle: Throttle::default(),
-            observed: AnswerStats::default(),
+            answer_stats: AnswerStats::default(),
             longest_batch: 0,
         }
     }
@@ -277,6 +282,7 @@
     /// Runs until [`Message::Stop`].
     pub async fn run(mut self) {
         let mut commands = Vec::new();
+        // The first pass takes no message, so that the core sets its timers at once.
         let mut first = true;
         loop {
             let message = match self.core.next_wake().filter(|_| !first) {
@@ -288,55 +294,57 @@
                 None => self.inbox.recv().await.ok(),
             };
             first = false;
-            let began = self.clock.now();
+            let batch_start = self.clock.now();
             let mut next = message;
-            // All that has happened goes in before the timers: after a stall, answers that came in time
-            // count before the deadlines that passed meanwhile.
+            // Queued messages are handled before the timers: after a stall, responses that arrived in time must
+            // be handled before the deadlines that passed in the meantime.
             for _ in 0..MAX_BATCH_MESSAGES {
                 let Some(message) = next.take().or_else(|| self.inbox.try_recv().ok()) else { break };
                 if matches!(message, Message::Stop) {
                     return;
                 }
-                self.message(message, &mut commands);
-                self.carry_out(&mut commands);
+                self.handle_message(message, &mut commands);
+                self.execute(&mut commands);
             }
             let now = self.clock.now();
             self.core.advance(now, &mut commands);
-            self.carry_out(&mut commands);
+            self.execute(&mut commands);
             self.with_host(|host, context| host.after_batch(now, context));
-            self.longest_batch = self.longest_batch.max(self.clock.now().saturating_sub(began));
+            self.longest_batch = self.longest_batch.max(self.clock.now().saturating_sub(batch_start));
         }
     }
 
     fn with_host(&mut self, run: impl FnOnce(&mut H, EngineContext<'_>)) {
         let context = EngineContext {
             core: &mut self.core,
-            answer_stats: &self.observed,
+            answer_stats: &self.answer_stats,
             attempts_in_flight: self.running.len(),
             queued_messages: self.inbox.len(),
-            started_at: self.started,
+            started_at: self.started_at,
             longest_batch: self.longest_batch,
         };
         run(&mut self.host, context);
     }
 
-    fn message(&mut self, message: Message<H>, out: &mut Vec<Command>) {
+    fn handle_message(&mut self, message: Message<H>, out: &mut Vec<Command>) {
         let now = self.clock.now();
         match message {
             Message::Call(call) => {
                 let input = self.host.register_call(&call);
-                self.calls.insert(call.call_id, OpenCall { call, ran: None });
+                self.calls.insert(call.call_id, OpenCall { call, first_run_sent_at: None });
                 self.core.handle(now, input, out);
             }
             Message::ClientDisconnected(call_id) => {
                 self.calls.remove(&call_id);
                 self.core.handle(now, Input::ClientDisconnected { call_id }, out);
             }
-            Message::Ended { call_id, attempt, ended } => self.ended(now, call_id, attempt, ended, out),
+            Message::Ended { call_id, attempt, ended } => {
+                self.attempt_ended(now, call_id, attempt, ended, out)
+            }
             Message::Probed { server, ended } => {
                 let ok = if ended.status == Status::Ok { "yes" } else { "no" };
-                let told = if ended.load.is_some() { "yes" } else { "no" };
-                metrics::counter!("frostgauge_probes", "ok" => ok, "load" => told).increment(1);
+                let reports_load = if ended.load.is_some() { "yes" } else { "no" };
+                metrics::counter!("frostgauge_probes", "ok" => ok, "load" => reports_load).increment(1);
                 let input = Input::Probed { server, status: ended.status, load: ended.load };
                 self.core.handle(now, input, out);
             }
@@ -350,21 +358,28 @@
         }
     }
 
-    /// Handles an attempt's end; a cancelled attempt has ended already.
-    fn ended(&mut self, now: Micros, call_id: CallId, attempt: u32, ended: Ended, out: &mut Vec<Command>) {
-        let Some(run) = self.running.remove(&(call_id, attempt)) else { return };
-        self.host.attempt_ended(run.server);
+    /// Handles the end of an attempt. Ignores an attempt that was cancelled: its end was handed in at that time.
+    fn attempt_ended(
+        &mut self,
+        now: Micros,
+        call_id: CallId,
+        attempt: u32,
+        ended: Ended,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(running) = self.running.remove(&(call_id, attempt)) else { return };
+        self.host.attempt_ended(running.server);
         let Ended { status, response, used, load } = ended;
-        let took = now.saturating_sub(run.sent);
+        let elapsed = now.saturating_sub(running.sent);
         if let Some(open) = self.calls.get_mut(&call_id).filter(|_| status.may_have_run()) {
-            open.ran.get_or_insert(run.sent);
+            open.first_run_sent_at.get_or_insert(running.sent);
         }
         let input = Input::AttemptEnded {
             call_id,
             attempt,
-            server: run.server,
+            server: running.server,
             status,
-            elapsed: took,
+            elapsed,
             usage: used,
             load,
         };
@@ -374,23 +389,23 @@
         if let Some(at) = out[from..].iter().position(|c| *c == deliver) {
             out.remove(from + at);
             if let (Some(response), Some(OpenCall { call, .. })) = (response, self.calls.remove(&call_id)) {
-                self.observed.answer("served", "served", now.saturating_sub(call.arrived));
+                self.answer_stats.answer("served", "served", now.saturating_sub(call.arrived));
                 let _ = call.reply.try_send(Reply::Server(response));
             }
         }
     }
 
-    fn carry_out(&mut self, commands: &mut Vec<Command>) {
-        let mut ended = Vec::new();
+    /// Executes commands until the core returns no more of them.
+    fn execute(&mut self, commands: &mut Vec<Command>) {
+        let mut inputs = Vec::new();
         loop {
             for command in commands.drain(..) {
-                ended.extend(match command {
+                inputs.extend(match command {
                     Command::Send { call_id, attempt, server, timeout, grant } => {
                         let open = self.calls.get(&call_id);
-                        let ran = open.and_then(|o| o.ran);
-                        let start =
-                            Attempt { call_id, attempt, server, timeout, grant, first_run_sent_at: ran };
-                        let task = self.host.start_attempt(start, open.map(|o| &*o.call));
+                        let first_run_sent_at = open.and_then(|open| open.first_run_sent_at);
+                        let start = Attempt { call_id, attempt, server, timeout, grant, first_run_sent_at };
+                        let task = self.host.start_attempt(start, open.map(|open| &*open.call));
                         metrics::counter!("frostgauge_attempts").increment(1);
                         let sent = self.clock.now();
                         self.running.insert((call_id, attempt), RunningAttempt { sent, server, task });
@@ -401,7 +416,7 @@
                         self.answer(call_id, answer);
                         None
                     }
-                    // Taken out where the response is at hand.
+                    // Removed in `attempt_ended`, which has the response.
                     Command::Deliver { .. } => None,
                     Command::Log(text) => {
                         tracing::info!(text, "decisions");
@@ -410,34 +425,35 @@
                     other => self.host.execute(self.clock.now(), other),
                 });
             }
-            let Some(input) = ended.pop() else { return };
+            let Some(input) = inputs.pop() else { return };
             self.core.handle(self.clock.now(), input, commands);
         }
     }
 
-    /// Cancels an attempt: dropping its task closes its connection.
+    /// Cancels an attempt by dropping its task, which closes its connection. Returns the core's input for its end.
     fn cancel(&mut self, call_id: CallId, attempt: u32) -> Option<Input> {
-        let run = self.running.remove(&(call_id, attempt))?;
-        drop(run.task);
-        self.host.attempt_ended(run.server);
-        let took = self.clock.now().saturating_sub(run.sent);
-        let (server, status, used, load) = (run.server, Status::Cancelled, None, None);
-        Some(Input::AttemptEnded { call_id, attempt, server, status, elapsed: took, usage: used, load })
+        let running = self.running.remove(&(call_id, attempt))?;
+        drop(running.task);
+        self.host.attempt_ended(running.server);
+        let elapsed = self.clock.now().saturating_sub(running.sent);
+        let (server, status, used, load) = (running.server, Status::Cancelled, None, None);
+        Some(Input::AttemptEnded { call_id, attempt, server, status, elapsed, usage: used, load })
     }
 
     fn answer(&mut self, call_id: CallId, answer: GatewayAnswer) {
         let Some(OpenCall { call, .. }) = self.calls.remove(&call_id) else { return };
         let now = self.clock.now();
-        let (kind, reason) = (kind(&answer), answer.reason());
-        self.observed.answer(kind, reason, now.saturating_sub(call.arrived));
-        if let Some(more) = self.throttle.pass(now, reason) {
-            tracing::info!(request = call_id, kind, reason, more, "not served");
+        let (kind, reason) = (answer_kind(&answer), answer.reason());
+        self.answer_stats.answer(kind, reason, now.saturating_sub(call.arrived));
+        if let Some(suppressed) = self.throttle.pass(now, reason) {
+            tracing::info!(request = call_id, kind, reason, more = suppressed, "not served");
         }
         let _ = call.reply.try_send(Reply::Gateway(answer));
     }
 }
 
-fn kind(answer: &GatewayAnswer) -> &'static str {
+/// The label of an answer's kind in metrics and logs.
+fn answer_kind(answer: &GatewayAnswer) -> &'static str {
     match answer {
         GatewayAnswer::Denied(_) | GatewayAnswer::UnknownTenant | GatewayAnswer::NotAllowed => "denied",
         GatewayAnswer::TokenUnverified { .. }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! What comes into the core, and what it wants done.
+//! Inputs of the core and the commands that it returns.
 
 use crate::clock::Micros;
 use crate::reply::GatewayAnswer;
@@ -11,187 +11,187 @@
 /// Number of a call, unique within one process.
 pub type CallId = u64;
 
-/// What the core has to know about a call.
+/// Properties of a call that the core decides by.
 #[derive(Clone, Debug)]
 pub struct CallMetadata {
-    /// Its number; never used twice.
+    /// Number of the call; never reused.
     pub call_id: CallId,
-    /// Digest of its token.
+    /// Digest of the call's token.
     pub token: TokenName,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Units it takes from the quota.
+    /// Units charged to the tenant's quota.
     pub units: f64,
-    /// The scope that its token must have, or empty.
+    /// The scope that the token must have; empty if none is required.
     pub scope: Arc<str>,
-    /// When the request was complete, µs.
+    /// When the request had been read completely, µs.
     pub arrived: Micros,
-    /// Its client's timeout, counted from then, µs.
+    /// The client's timeout, counted from `arrived`, µs.
     pub timeout: Micros,
-    /// Its client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
 /// An event for the core.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A request is complete.
+    /// A request has been read completely; its token is to be checked.
     Call(CallMetadata),
-    /// A request is complete, and its tenant is known: no token is checked.
+    /// A request has been read completely, and its tenant is known: no token is checked.
     AuthenticatedCall {
         /// The request.
         metadata: CallMetadata,
-        /// Its tenant.
+        /// The request's tenant.
         tenant: Tenant,
     },
     /// A call's client closed its connection.
     ClientDisconnected {
-        /// Which.
+        /// Number of the call.
         call_id: CallId,
     },
     /// An introspection request ended.
     Introspected {
-        /// Which.
+        /// Number of the introspection request, from [`Command::Introspect`].
         flight: u64,
-        /// The answer.
+        /// The introspection server's answer; `None` if it gave no usable one.
         answer: Option<Answer>,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Number of the call.
         call_id: CallId,
-        /// Its attempt, from 0.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
-        /// Where it went.
+        /// The server that it was sent to.
         server: ServerId,
         /// How it ended.
         status: Status,
         /// Time since it was sent, µs.
         elapsed: Micros,
-        /// The tenant's usage as the answer reports it.
+        /// The tenant's usage, if the response reports it.
         usage: Option<f64>,
-        /// The load that the answer reports.
+        /// The server's load, if the response reports it.
         load: Option<Load>,
     },
-    /// Result of a probe.
+    /// A probe ended.
     Probed {
-        /// The node.
+        /// The probed server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         status: Status,
-        /// The load that it reports.
+        /// The server's load, if the response reports it.
         load: Option<Load>,
     },
-    /// Result of a health check of a server in an unavailable zone.
+    /// A health check of a server in an unavailable zone ended.
     HealthChecked {
-        /// The node.
+        /// The checked server.
         server: ServerId,
-        /// How it ended.
+        /// How the check ended.
         status: Status,
         /// Time since it was sent, µs.
         elapsed: Micros,
     },
     /// A call of the shared counter ended.
     CounterReplied {
-        /// The number's name.
+        /// The counter.
         counter: CounterId,
-        /// The total, or none.
+        /// The counter's total after the addition; `None` if the call failed.
         total: Option<f64>,
-        /// It may have been added.
+        /// Whether a failed call may nevertheless have been added.
         may_have_added: bool,
-        /// Time since the call.
+        /// Time since the call was sent, µs.
         elapsed: Micros,
     },
     /// An administrator drains or restores a zone.
     DrainZone {
-        /// Its index.
+        /// Index of the zone.
         zone: u32,
-        /// Out of use.
+        /// True to drain the zone, false to restore it.
         drained: bool,
     },
-    /// A message of another gateway.
+    /// A message from another gateway arrived.
     PeerMessage {
-        /// Its number.
+        /// Number of the sending gateway.
         from: usize,
-        /// The message.
+        /// The encoded message.
         data: Vec<u8>,
     },
 }
 
-/// Something for the host to do, in the order given.
+/// An action for the host; the host executes commands in the order in which the core returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// CallMetadata the introspection server, and hand in `Introspected` exactly once.
+    /// Send an introspection request, and hand in [`Input::Introspected`] exactly once.
     Introspect {
-        /// The question's number.
+        /// Number of the introspection request.
         flight: u64,
-        /// The token's name.
+        /// Digest of the token.
         token: TokenName,
-        /// How long to wait.
+        /// Timeout of the request, µs.
         timeout: Micros,
     },
-    /// Start an attempt, and hand in `AttemptEnded` exactly once.
+    /// Start an attempt, and hand in [`Input::AttemptEnded`] exactly once.
     Send {
-        /// The request.
+        /// Number of the call.
         call_id: CallId,
-        /// Its attempt.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
-        /// Where to.
+        /// The server to send to.
         server: ServerId,
-        /// Its time-out.
+        /// Timeout of the attempt, µs.
         timeout: Micros,
-        /// Whose request it is.
+        /// The caller's verified identity and scopes.
         grant: Arc<Grant>,
     },
     /// Cancel an attempt; its end is still handed in.
     Cancel {
-        /// The request.
+        /// Number of the call.
         call_id: CallId,
-        /// Its attempt.
+        /// Number of the attempt within the call.
         attempt: u32,
     },
-    /// GatewayAnswer answer: what this attempt brought.
+    /// Send the client the response of this attempt as the final answer.
     Deliver {
-        /// The request.
+        /// Number of the call.
         call_id: CallId,
-        /// Its attempt.
+        /// Number of the attempt within the call.
         attempt: u32,
     },
-    /// GatewayAnswer answer: the gateway's own.
+    /// Send the client a final answer of the gateway's own.
     Answer {
-        /// The request.
+        /// Number of the call.
         call_id: CallId,
-        /// What to say.
+        /// The answer.
         answer: GatewayAnswer,
     },
-    /// Probe a node.
+    /// Probe a server, and hand in [`Input::Probed`].
     Probe {
-        /// Which.
+        /// The server to probe.
         server: ServerId,
     },
-    /// Check the health of a server in an unavailable zone, and hand in `Checked`.
+    /// Check the health of a server in an unavailable zone, and hand in [`Input::HealthChecked`].
     CheckHealth {
-        /// Which.
+        /// The server to check.
         server: ServerId,
     },
-    /// A zone changed, for the log.
+    /// Log that a zone's state changed.
     LogZoneChange(Change),
     /// Send a message to another gateway.
     SendToPeer {
-        /// Its number.
+        /// Number of the receiving gateway.
         to: usize,
-        /// The message.
+        /// The encoded message.
         data: Vec<u8>,
     },
-    /// Add to a number of the shared counter, and hand in `CounterReplied` exactly once.
+    /// Add to a shared counter, and hand in [`Input::CounterReplied`] exactly once.
     AddToCounter {
-        /// Its name.
+        /// The counter.
         counter: CounterId,
-        /// Units.
+        /// Units to add.
         amount: f64,
-        /// Lifetime of a new name, µs.
+        /// Lifetime of the counter if the addition creates it, µs.
         ttl: Micros,
     },
-    /// A line for the log.
+    /// Write a line of the decision library to the log.
     Log(String),
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway's engine.
+//! The gateway: its decisions, the engine that runs them, and its sockets.
 //!
-//! [`core::Core`] owns every decision: the library's `Gateway`, `identity`, the timers and the table of
-//! open requests. It opens no socket and reads no clock, so that tests and an emulator drive it as the
-//! daemon does. [`engine`] is the one task that owns a core; fronts hand it [`engine::Call`]s through a
-//! bounded channel and wait for one [`engine::Reply`] each, whatever protocol they speak.
+//! [`core::Core`] makes every decision. It contains the decision library's `Gateway`, `identity`, the timers and
+//! the table of open calls; it opens no socket and reads no clock, so that tests and the simulator drive it in the
+//! same way as the daemon. [`engine::Engine`] is the one task that owns a core. Fronts send it [`engine::Call`]s
+//! through a bounded channel and wait for one [`engine::Reply`] each, whatever protocol they speak.
 
 pub mod admin;
 mod admin_rules;
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! Final answers that the gateway gives itself, and their form in HTTP; other fronts map the same reasons to theirs.
+//! Final answers of the gateway's own, and their form in HTTP. Fronts of other protocols map the same reasons to theirs.
 
 use crate::clock::Micros;
 use frostgauge::RejectReason;
@@ -8,57 +8,57 @@
 /// Why a request failed after an attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// The node answered with an error.
+    /// The server answered with an error.
     ServerError,
-    /// The connection to the node broke.
+    /// The connection to the server broke.
     ConnectionBroken,
-    /// No answer before the client's time was over.
+    /// The client's timeout passed before a response arrived.
     Timeout,
 }
 
-/// A final answer that is not a node's.
+/// A final answer of the gateway's own, in place of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GatewayAnswer {
-    /// The token is missing, bad or lacks a scope.
+    /// The token is missing, malformed or invalid, or lacks the required scope.
     Denied(Denied),
-    /// The token is good, but names no insurer of the settings.
+    /// The token is valid, but its subject is not a known tenant.
     UnknownTenant,
-    /// The fleet's agreed rules do not let this insurer ask for that.
+    /// The fleet rules do not allow this tenant the class of the request.
     NotAllowed,
-    /// The fleet's agreed rules cannot be confirmed now: only floors are served, and this is not on them.
+    /// The gateway has no lease on the fleet rules, so the fallback rules apply, and they do not admit this request.
     FallbackRulesOnly {
-        /// When to come back.
+        /// Time after which the client may retry, µs.
         retry_after: Micros,
     },
-    /// There is no verdict on the token.
+    /// The token could not be verified: there is no verdict on it.
     TokenUnverified {
-        /// When to come back.
+        /// Time after which the client may retry, µs.
         retry_after: Micros,
     },
-    /// Refused: nothing has run, trying again does no harm.
+    /// The request was rejected: no attempt has run, so a retry is safe.
     Rejected {
-        /// Why.
+        /// The reason.
         why: RejectReason,
-        /// When to come back; 0: no advice.
+        /// Time after which the client may retry, µs; 0 if there is no advice.
         retry_after: Micros,
     },
-    /// Failed: it may have run.
+    /// The request failed: an attempt may have run.
     Failed(FailureReason),
 }
 
-/// What goes out in place of a node's answer.
+/// The HTTP form of an answer of the gateway's own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpAnswer {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// Fields, names in lower case.
+    /// Header fields; the names are in lower case.
     pub fields: Vec<(&'static str, String)>,
-    /// The content.
+    /// Content of the response.
     pub body: Vec<u8>,
 }
 
 impl HttpAnswer {
-    /// An answer with a problem body (RFC 9457).
+    /// Creates an answer with a problem body (RFC 9457).
     pub fn problem(status: u16, kind: &str, title: &str, detail: &str) -> HttpAnswer {
         HttpAnswer {
             status,
@@ -68,7 +68,7 @@
     }
 }
 
-/// The stable word for a refusal's reason, its status, and what people read.
+/// Returns the stable identifier, the HTTP status and the title of a reject reason.
 pub fn rejection_form(why: RejectReason) -> (&'static str, u16, &'static str) {
     match why {
         RejectReason::Quota => ("quota", 429, "The insurer's quota is used up"),
@@ -87,7 +87,7 @@
 }
 
 impl GatewayAnswer {
-    /// The stable word for the reason, also a label of metrics.
+    /// Returns the stable identifier of the reason. It is the problem's type and a label of metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             GatewayAnswer::Denied(Denied::Missing) => "token-missing",
@@ -105,7 +105,7 @@
         }
     }
 
-    /// How long the client should stay away; 0: no advice.
+    /// Time after which the client may retry, µs; 0 if there is no advice.
     pub fn retry_after(&self) -> Micros {
         match self {
             GatewayAnswer::TokenUnverified { retry_after }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The answer in HTTP's words; `realm` and `scope` for challenges.
+    /// Converts the answer to HTTP; `realm` and `scope` go into the challenge of a denied token.
     pub fn http(&self, realm: &str, scope: &str) -> HttpAnswer {
         let kind = self.reason();
         let mut answer = match self {
@@ -148,23 +148,23 @@
                 let (_, status, title) = rejection_form(*why);
                 HttpAnswer::problem(status, kind, title, "Nothing was done; trying again does no harm.")
             }
-            GatewayAnswer::Failed(failed) => {
-                let status = if *failed == FailureReason::Timeout { 504 } else { 502 };
+            GatewayAnswer::Failed(reason) => {
+                let status = if *reason == FailureReason::Timeout { 504 } else { 502 };
                 let title = "No answer came that settles this request";
                 HttpAnswer::problem(status, kind, title, "It may have been carried out.")
             }
         };
-        let wait = self.retry_after();
-        if wait > 0 {
-            // Whole seconds are all that the field has (RFC 9110 section 10.2.3); a client that knows the
-            // finer one goes by it.
-            answer.fields.push(("retry-after", wait.div_ceil(1_000_000).to_string()));
-            answer.fields.push(("retry-after-ms", wait.div_ceil(1_000).to_string()));
+        let retry_after = self.retry_after();
+        if retry_after > 0 {
+            // `retry-after` has whole seconds only (RFC 9110 section 10.2.3); clients that know
+            // `retry-after-ms` use the more exact value.
+            answer.fields.push(("retry-after", retry_after.div_ceil(1_000_000).to_string()));
+            answer.fields.push(("retry-after-ms", retry_after.div_ceil(1_000).to_string()));
         }
         if let GatewayAnswer::Rejected { why: RejectReason::Quota | RejectReason::Ceiling, .. } = self {
             answer
                 .fields
-                .push(("ratelimit", format!("\"{kind}\";r=0;t={}", wait.div_ceil(1_000_000).max(1))));
+                .push(("ratelimit", format!("\"{kind}\";r=0;t={}", retry_after.div_ceil(1_000_000).max(1))));
         }
         answer
     }
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -1,4 +1,5 @@
-//! Between the library's question before each attempt and the decisions about zones.
+//! Connects the decision library, which requests the available zones before each attempt, with the zone decisions of
+//! `frostgauge-zones`.
 
 use crate::clock::Micros;
 use frostgauge::{Gate, Load, PendingAttempt, RequestId, ServerId, Status};
@@ -6,14 +7,15 @@
 use frostgauge_zones::{Ask, Config, End, Limit, Node, Zones};
 use std::collections::BTreeMap;
 
+/// Microseconds per millisecond.
 const MS: Micros = 1_000;
 
-/// The decisions about zones with the zones of nodes; none where the settings have no `zone_policy`.
+/// The zone decisions, and the zone of each server.
 #[derive(Debug, Default)]
 pub struct ZoneGate {
-    /// The decisions.
+    /// The zone decisions; `None` if the settings have no `zone_policy`, and then every zone is available.
     pub zones: Option<Zones>,
-    places: BTreeMap<ServerId, u32>,
+    server_zones: BTreeMap<ServerId, u32>,
 }
 
 impl Gate for ZoneGate {
@@ -29,22 +31,23 @@
     }
 }
 
-/// What `zones` goes by, from the settings.
+/// Converts the settings into the configuration of `frostgauge-zones`; `None` if they have no `zone_policy`.
 fn config(loaded: &Loaded) -> Option<Config> {
     let (file, policy) = (&loaded.file, loaded.file.zone_policy.as_ref()?);
-    let (me, here) = (file.gateway.number, &file.gateway.zone);
-    let place = |zone: &String| file.zones.iter().position(|z| z == zone).map(|k| k as u32);
-    let tiers = policy.tiers.get(here)?.iter().map(|t| t.iter().filter_map(place).collect());
-    let limits = policy.limits.get(here);
+    let (own_number, own_zone) = (file.gateway.number, &file.gateway.zone);
+    let zone_index = |zone: &String| file.zones.iter().position(|z| z == zone).map(|index| index as u32);
+    let tiers = policy.tiers.get(own_zone)?.iter().map(|tier| tier.iter().filter_map(zone_index).collect());
+    let limits = policy.limits.get(own_zone);
     let limits = file
         .zones
         .iter()
         .map(|zone| limits.and_then(|l| l.get(zone)).map(|l| Limit { rate: l.rate, share: l.share }));
-    // A limit is for the gateways of this zone: its turns are shared among them, where they are known.
-    let mates = |n: usize| file.fleet.zones.iter().take(n).filter(|z| *z == here).count();
+    // A limit applies to the gateways of this zone together, which take turns. Where the settings do not name the
+    // zones of the gateways, all gateways of the fleet take turns.
+    let in_own_zone = |n: usize| file.fleet.zones.iter().take(n).filter(|zone| *zone == own_zone).count();
     let (me, gateways) = match file.fleet.zones.len() {
-        0 => (me, file.fleet.gateways),
-        n => (mates(me), mates(n)),
+        0 => (own_number, file.fleet.gateways),
+        n => (in_own_zone(own_number), in_own_zone(n)),
     };
     Some(Config {
         me,
@@ -65,14 +68,14 @@
 }
 
 impl ZoneGate {
-    /// For these settings.
+    /// Creates the gate for these settings, with no servers yet.
     pub fn new(loaded: &Loaded, now: Micros) -> ZoneGate {
-        ZoneGate { zones: config(loaded).map(|c| Zones::new(c, now)), places: BTreeMap::new() }
+        ZoneGate { zones: config(loaded).map(|c| Zones::new(c, now)), server_zones: BTreeMap::new() }
     }
 
-    /// Takes the whole list.
+    /// Replaces the list of servers.
     pub fn replace_servers(&mut self, now: Micros, entries: &[frostgauge::ServerEntry]) {
-        self.places = entries.iter().map(|e| (e.server, e.zone)).collect();
+        self.server_zones = entries.iter().map(|e| (e.server, e.zone)).collect();
         let Some(zones) = &mut self.zones else { return };
         let ready = |e: &frostgauge::ServerEntry| e.state == frostgauge::ServerState::Ready;
         let nodes: Vec<Node> = entries
@@ -82,25 +85,25 @@
         zones.list(now, &nodes);
     }
 
-    /// An attempt or a check ended.
+    /// Records the end of an attempt or of a health check, `elapsed` µs after it was sent.
     pub fn record_end(
         &mut self,
         now: Micros,
         server: ServerId,
         status: Status,
-        took: Micros,
+        elapsed: Micros,
         load: Option<Load>,
     ) {
-        let (Some(zones), Some(zone)) = (&mut self.zones, self.places.get(&server)) else { return };
+        let (Some(zones), Some(zone)) = (&mut self.zones, self.server_zones.get(&server)) else { return };
         let end = match status {
             Status::Ok | Status::Error | Status::Rejected => End::Answered,
             Status::ConnectFailed | Status::WriteFailed | Status::Reset | Status::Timeout => End::Dead,
             Status::Cancelled | Status::NotSent => End::Nothing,
         };
-        zones.ended(now, *zone, server.0, now.saturating_sub(took), end);
+        zones.ended(now, *zone, server.0, now.saturating_sub(elapsed), end);
         if let (Status::Ok, Some(load)) = (status, load) {
-            if let (Some(held), Some(busy)) = (load.inflight, load.util) {
-                zones.reported(*zone, held, busy, took as f64 / 1e6);
+            if let (Some(inflight), Some(utilization)) = (load.inflight, load.util) {
+                zones.reported(*zone, inflight, utilization, elapsed as f64 / 1e6);
             }
         }
     }
