--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! For staff, on a local address: `/metrics`, `/status`, `/health`, `/accord`.
+//! The admin pages, served on a local address: `/metrics`, `/status`, `/health`, `/zones`, `/accord`.
 
 use crate::admin_rules;
 use crate::fleet_rules::FleetRules;
@@ -12,29 +12,29 @@
 
 pub use frostgauge_net::ask;
 
-/// Sets up metrics, once a process.
+/// Installs the Prometheus recorder of this process; further calls return the same handle.
 ///
 /// # Errors
-/// Another recorder is installed.
+/// Another recorder is installed already.
 pub fn install_metrics() -> Result<PrometheusHandle, String> {
     static HANDLE: OnceLock<Result<PrometheusHandle, String>> = OnceLock::new();
     let install = || PrometheusBuilder::new().install_recorder().map_err(|e| e.to_string());
     HANDLE.get_or_init(install).clone()
 }
 
-/// Serves staff until closing.
+/// Serves the admin pages until `closing` ends them.
 pub async fn serve(
     listener: Async<TcpListener>,
     handle: Handle,
-    agreed: Option<FleetRules>,
+    fleet_rules: Option<FleetRules>,
     metrics: PrometheusHandle,
     closing: Closing,
     executor: Arc<Executor<'static>>,
 ) {
     pages(listener, closing, executor, move |question: Question| {
-        let (handle, agreed, metrics) = (handle.clone(), agreed.clone(), metrics.clone());
+        let (handle, fleet_rules, metrics) = (handle.clone(), fleet_rules.clone(), metrics.clone());
         async move {
-            match admin_rules::answer(agreed.as_ref(), &question).await {
+            match admin_rules::answer(fleet_rules.as_ref(), &question).await {
                 Some(page) => page,
                 None => page(&handle, &metrics, &question.method, &question.target).await,
             }
@@ -51,18 +51,24 @@
             None => Page::text(503, "the engine has ended\n"),
         },
         ("GET", "/health") => Page::text(200, "ok\n"),
-        ("POST", target) if target.starts_with("/zones/") => match zone(handle, target).await {
-            Some(true) => Page::text(200, "ok\n"),
-            _ => Page::text(404, "POST /zones/ZONE/drain or /zones/ZONE/restore, of a zone of zone_policy\n"),
-        },
+        ("POST", target) if target.starts_with("/zones/") => {
+            match drain_or_restore_zone(handle, target).await {
+                Some(true) => Page::text(200, "ok\n"),
+                _ => Page::text(
+                    404,
+                    "POST /zones/ZONE/drain or /zones/ZONE/restore, of a zone of zone_policy\n",
+                ),
+            }
+        }
         _ => Page::text(404, "GET /metrics, /status or /health\n"),
     }
 }
 
-/// Staff take a zone out of use, or give it back.
-async fn zone(handle: &Handle, target: &str) -> Option<bool> {
-    let (zone, word) = target.strip_prefix("/zones/")?.split_once('/')?;
-    let drained = match word {
+/// Handles `POST /zones/ZONE/drain` and `/zones/ZONE/restore`. `None`: the path has another form, or the engine has ended;
+/// `Some(false)`: the zone is not known.
+async fn drain_or_restore_zone(handle: &Handle, target: &str) -> Option<bool> {
+    let (zone, operation) = target.strip_prefix("/zones/")?.split_once('/')?;
+    let drained = match operation {
         "drain" => true,
         "restore" => false,
         _ => return None,
@@ -72,14 +78,14 @@
     answer.recv().await.ok()
 }
 
-/// Fetches a page of another gateway's staff address; for the command line.
+/// Fetches an admin page of a running gateway, for the command line.
 ///
 /// # Errors
-/// No connection, no answer within `patience`, or one that is not 200.
+/// The connection fails, no response arrives within `timeout`, or its status is not 200.
 pub async fn fetch(
     from: std::net::SocketAddr,
     path: &str,
-    patience: std::time::Duration,
+    timeout: std::time::Duration,
 ) -> Result<String, String> {
-    ask(from, "GET", path, patience).await
+    ask(from, "GET", path, timeout).await
 }
--- a/crates/gateway/src/admin_rules.rs
+++ b/crates/gateway/src/admin_rules.rs
@@ -1,4 +1,4 @@
-//! Admin pages of the fleet's agreed rules: status, publishing, withdrawing.
+//! Admin pages of the fleet rules: status, publishing and withdrawing versions, changing the members.
 
 use crate::fleet_rules::FleetRules;
 use frostgauge_consensus::{GatewayId, Message, Outcome, Proposal, VersionNumber};
@@ -9,22 +9,27 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The task replies at once, except to what needs the replicas.
+/// Longest wait for a reply of the agent's task to a request that needs no other gateway.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// An admin connection times out after 5 s; an editor without an outcome asks again with the same id.
+/// Longest wait for the outcome of a proposal. An admin connection times out after 5 s; an editor who gets no outcome
+/// repeats the request with the same id.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(4);
 
+/// Body of `POST /accord/publish`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Publish {
-    base: VersionNumber,
+    /// The version that the editor started from.
+    #[serde(rename = "base")]
+    base_version: VersionNumber,
     author: String,
     reason: String,
-    /// Id of an earlier request, to ask for its outcome.
+    /// Id of an earlier request, if this one repeats it to learn its outcome.
     id: Option<u64>,
     rules: Value,
 }
 
+/// Body of `POST /accord/withdraw`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Withdraw {
@@ -32,31 +37,34 @@
     reason: String,
 }
 
+/// Body of `POST /accord/retire`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Retire {
     gateway: GatewayId,
 }
 
+/// Body of `POST /accord/keepers`: the new set of voters.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Keepers {
-    keepers: BTreeSet<GatewayId>,
+#[serde(deny_unknown_fields, rename = "Keepers")]
+struct ChangeVoters {
+    #[serde(rename = "keepers")]
+    voters: BTreeSet<GatewayId>,
 }
 
 fn page(status: u16, value: &Value) -> Page {
     Page { status, ..Page::json(format!("{value:#}\n")) }
 }
 
-fn bad(reason: &str) -> Page {
+fn bad_request(reason: &str) -> Page {
     page(400, &json!({ "error": reason }))
 }
 
-fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, Page> {
-    serde_json::from_slice(body).map_err(|e| bad(&e.to_string()))
+fn parse_body<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, Page> {
+    serde_json::from_slice(body).map_err(|error| bad_request(&error.to_string()))
 }
 
-/// Responds to a request about the rules; none: it is about something else.
+/// Responds to a request for a page under `/accord`; `None` if its path is another one.
 pub(crate) async fn answer(fleet_rules: Option<&FleetRules>, question: &Question) -> Option<Page> {
     let rest = question.target.strip_prefix("/accord")?;
     let Some(fleet_rules) = fleet_rules else {
@@ -77,19 +85,19 @@
         },
         ("GET", rest) if rest.starts_with("/rules") => rules(fleet_rules, rest).await,
         ("POST", "/publish") => publish(fleet_rules, body).await.unwrap_or_else(|page| page),
-        ("POST", "/withdraw") => match read::<Withdraw>(body) {
-            Ok(Withdraw { version, reason }) => operate(fleet_rules, Message::Withdraw { version, reason }),
+        ("POST", "/withdraw") => match parse_body::<Withdraw>(body) {
+            Ok(Withdraw { version, reason }) => broadcast(fleet_rules, Message::Withdraw { version, reason }),
             Err(page) => page,
         },
-        ("POST", "/retire") => match read::<Retire>(body) {
-            Ok(Retire { gateway }) => operate(fleet_rules, Message::Retire { gateway }),
+        ("POST", "/retire") => match parse_body::<Retire>(body) {
+            Ok(Retire { gateway }) => broadcast(fleet_rules, Message::Retire { gateway }),
             Err(page) => page,
         },
-        ("POST", "/keepers") => match read::<Keepers>(body) {
-            Ok(Keepers { keepers }) if matches!(keepers.len(), 3 | 5 | 7) => {
-                operate(fleet_rules, Message::ChangeVoters { voters: keepers })
+        ("POST", "/keepers") => match parse_body::<ChangeVoters>(body) {
+            Ok(ChangeVoters { voters }) if matches!(voters.len(), 3 | 5 | 7) => {
+                broadcast(fleet_rules, Message::ChangeVoters { voters })
             }
-            Ok(_) => bad("keepers: 3, 5 or 7 may be"),
+            Ok(_) => bad_request("keepers: 3, 5 or 7 may be"),
             Err(page) => page,
         },
         _ => page(
@@ -99,12 +107,13 @@
     })
 }
 
+/// `GET /accord/rules`, the latest version, and `GET /accord/rules/NUMBER`.
 async fn rules(fleet_rules: &FleetRules, rest: &str) -> Page {
     let number = match rest.strip_prefix("/rules").map(|r| r.trim_start_matches('/')) {
         Some("") => None,
         Some(number) => match number.parse::<VersionNumber>() {
             Ok(number) => Some(number),
-            Err(_) => return bad("GET /accord/rules or /accord/rules/NUMBER"),
+            Err(_) => return bad_request("GET /accord/rules or /accord/rules/NUMBER"),
         },
         None => None,
     };
@@ -114,8 +123,8 @@
     }
 }
 
-/// Sends an operator's message to every known replica; its result shows in `GET /accord`.
-fn operate(fleet_rules: &FleetRules, message: Message) -> Page {
+/// Sends an operator's message to every replica without waiting for its effect, which `GET /accord` shows.
+fn broadcast(fleet_rules: &FleetRules, message: Message) -> Page {
     if fleet_rules.task().send(Command::Broadcast(message)) {
         page(202, &json!({ "said": true }))
     } else {
@@ -123,27 +132,28 @@
     }
 }
 
+/// `POST /accord/publish`: proposes rules and waits for the outcome; the error is the page for invalid rules.
 async fn publish(fleet_rules: &FleetRules, body: &[u8]) -> Result<Page, Page> {
-    let Publish { base, author, reason, id, rules } = read(body)?;
-    // Checked here already, with paths: the replicas would find the same.
+    let Publish { base_version, author, reason, id, rules } = parse_body(body)?;
+    // The replicas check the rules too; checking them here saves the round trip and reports the path of each fault.
     let rules = frostgauge_settings::read_rules(&rules).map_err(|faults| {
         let faults: Vec<Value> =
-            faults.0.iter().map(|f| json!({ "path": f.path, "reason": f.reason })).collect();
+            faults.0.iter().map(|fault| json!({ "path": fault.path, "reason": fault.reason })).collect();
         page(422, &json!({ "outcome": "faulty", "faults": faults }))
     })?;
     let id = id.unwrap_or_else(rand::random);
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let time_ms = u64::try_from(since.as_millis()).unwrap_or(0);
-    let proposal = Box::new(Proposal { id, base_version: base, author, reason, time_ms, rules });
-    let told = fleet_rules
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let time_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(0);
+    let proposal = Box::new(Proposal { id, base_version, author, reason, time_ms, rules });
+    let outcome = fleet_rules
         .task()
         .request(|reply| Command::Propose(proposal, reply), PUBLISH_TIMEOUT)
         .await
         .flatten();
     let faults = |faults: &[frostgauge_consensus::FieldError]| -> Vec<Value> {
-        faults.iter().map(|f| json!({ "path": f.path, "reason": f.reason })).collect()
+        faults.iter().map(|fault| json!({ "path": fault.path, "reason": fault.reason })).collect()
     };
-    Ok(match told {
+    Ok(match outcome {
         Some(Outcome::Numbered(version)) => {
             page(200, &json!({ "outcome": "numbered", "version": version, "id": id }))
         }
@@ -151,8 +161,8 @@
             409,
             &json!({ "outcome": "overtaken", "latest": latest, "changed": changed_paths, "id": id }),
         ),
-        Some(Outcome::Invalid(f)) => {
-            page(422, &json!({ "outcome": "faulty", "faults": faults(&f), "id": id }))
+        Some(Outcome::Invalid(errors)) => {
+            page(422, &json!({ "outcome": "faulty", "faults": faults(&errors), "id": id }))
         }
         Some(Outcome::BreaksFallback { version, held_by, conflicts }) => page(
             409,
@@ -163,7 +173,7 @@
         Some(Outcome::TooManyVersions(kept)) => {
             page(503, &json!({ "outcome": "full", "kept": kept, "id": id }))
         }
-        // It may yet be numbered: the same id tells.
+        // The proposal may still be numbered later; a request with the same id returns its outcome.
         None => page(504, &json!({ "outcome": "not known", "id": id })),
     })
 }
--- a/crates/gateway/src/fleet_rules/admission.rs
+++ b/crates/gateway/src/fleet_rules/admission.rs
@@ -1,4 +1,4 @@
-//! Requests against the fleet's rules, before they go to the decisions.
+//! Admission of requests by the fleet rules, before they reach the decision library.
 
 use super::FleetRules;
 use crate::clock::Micros;
@@ -8,17 +8,20 @@
 use frostgauge_fleet_agent::AttemptRejection;
 use frostgauge_settings::{Loaded, Tenant};
 
-/// Checks a request's tenant and class against the rules.
+/// Checks a request's tenant and class against the fleet rules.
 pub struct RulesAdmission {
     rules: FleetRules,
+    /// Names of the classes, by index.
     classes: Vec<String>,
+    /// Names of the plans, by index.
     plans: Vec<String>,
     gateways: usize,
+    /// Longest advice to a rejected client, µs.
     max_retry_after: Micros,
 }
 
 impl RulesAdmission {
-    /// For these settings.
+    /// Creates the check with the classes, plans and limits of these settings.
     pub fn new(rules: FleetRules, loaded: &Loaded) -> RulesAdmission {
         RulesAdmission {
             rules,
@@ -36,7 +39,7 @@
         now: Micros,
         subject: &str,
         class: usize,
-        known: Option<Tenant>,
+        configured: Option<Tenant>,
     ) -> Result<Tenant, GatewayAnswer> {
         let mut guard = self.rules.task.guard();
         let class = self.classes.get(class).map_or("", String::as_str);
@@ -50,29 +53,29 @@
                 | AttemptRejection::NoConnectionPermit => GatewayAnswer::FallbackRulesOnly {
                     retry_after: self.rules.timing.retry_after.min(self.max_retry_after),
                 },
-                AttemptRejection::QuotaExhausted(wait) => GatewayAnswer::Rejected {
+                AttemptRejection::QuotaExhausted(retry_after) => GatewayAnswer::Rejected {
                     why: RejectReason::Ceiling,
-                    retry_after: wait.min(self.max_retry_after),
+                    retry_after: retry_after.min(self.max_retry_after),
                 },
             });
         }
         if guard.eligible_servers(now).next().is_none() {
             guard.demand_missed(now, subject, class);
         }
-        // One that came with a version is known by its plan alone.
+        // A tenant that only a version of the fleet rules names has no parameters but its plan.
         let view = guard.view().clone();
         let plan = view.at(now).1.plans.get(subject);
         let plan = plan.and_then(|plan| self.plans.iter().position(|p| p == plan));
-        let here = Tenant {
+        let unconfigured = Tenant {
             id: frostgauge_settings::customer_id(subject),
             plan: 0,
             subset_start: 0,
             subset_size: self.gateways,
         };
-        match (known, plan) {
-            (Some(known), Some(plan)) => Ok(Tenant { plan, ..known }),
-            (Some(known), None) => Ok(known),
-            (None, Some(plan)) => Ok(Tenant { plan, ..here }),
+        match (configured, plan) {
+            (Some(configured), Some(plan)) => Ok(Tenant { plan, ..configured }),
+            (Some(configured), None) => Ok(configured),
+            (None, Some(plan)) => Ok(Tenant { plan, ..unconfigured }),
             (None, None) => Err(GatewayAnswer::UnknownTenant),
         }
     }
--- a/crates/gateway/src/fleet_rules/maintenance.rs
+++ b/crates/gateway/src/fleet_rules/maintenance.rs
@@ -1,4 +1,4 @@
-//! The task beside the engine: notifies it when the rules change, probes servers, and reports the canary verdict.
+//! A task that notifies the engine when the fleet rules change, probes servers, and reports the canary verdict.
 
 use super::FleetRules;
 use crate::oauth::{Handle, HostEvent, Message};
@@ -16,19 +16,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Servers probed at once for their own report.
-const MAX_PROBES_IN_FLIGHT: usize = 64;
-/// Longest body of a response to a probe.
+/// Capacity of the channel by which probes report that they have ended; further reports are dropped.
+const MAX_QUEUED_PROBE_ENDS: usize = 64;
+/// Maximum length of the body of a response to a probe.
 const MAX_PROBE_BODY_BYTES: u64 = 64 << 10;
 
-/// The task's state.
+/// State of the task.
 pub(super) struct Maintenance {
     rules: FleetRules,
     handle: Handle,
+    /// Notifications that the rules in effect or the permits have changed.
     changes: Receiver<()>,
     executor: Arc<Executor<'static>>,
-    held: Arc<BudgetedPool>,
+    pool: Arc<BudgetedPool>,
+    /// The eligible servers of which the engine was last notified.
     announced: Option<BTreeSet<SocketAddr>>,
+    /// The canary verdict reported last.
     reported: Option<CanaryVerdict>,
 }
 
@@ -38,86 +41,94 @@
         handle: Handle,
         changes: Receiver<()>,
         executor: Arc<Executor<'static>>,
-        held: Arc<BudgetedPool>,
+        pool: Arc<BudgetedPool>,
     ) -> Maintenance {
-        Maintenance { rules, handle, changes, executor, held, announced: None, reported: None }
+        Maintenance { rules, handle, changes, executor, pool, announced: None, reported: None }
     }
 
     pub(super) async fn run(mut self) {
-        let every = Duration::from_micros(self.rules.timing.confirmation_interval);
-        let (ask, answered) = async_channel::bounded(MAX_PROBES_IN_FLIGHT);
+        let interval = Duration::from_micros(self.rules.timing.confirmation_interval);
+        let (probe_ended, probe_ends) = async_channel::bounded(MAX_QUEUED_PROBE_ENDS);
         loop {
             let timer = async {
-                Timer::after(every).await;
+                Timer::after(interval).await;
                 true
             };
             let change = async { self.changes.recv().await.is_ok() };
-            let answer = async { answered.recv().await.is_ok() };
-            if !future::or(change, future::or(answer, timer)).await {
+            let probe_end = async { probe_ends.recv().await.is_ok() };
+            if !future::or(change, future::or(probe_end, timer)).await {
                 return;
             }
-            self.held.close_excess();
-            self.confirm(&ask);
-            let (open, _) = self.rules.eligible_nodes();
-            if self.announced.as_ref() != Some(&open)
+            self.pool.close_excess();
+            self.probe_servers(&probe_ended);
+            let (eligible, _) = self.rules.eligible_servers();
+            if self.announced.as_ref() != Some(&eligible)
                 && self.handle.try_send(Message::Host(HostEvent::FleetRulesChanged))
             {
-                self.announced = Some(open);
+                self.announced = Some(eligible);
             }
-            self.report();
+            self.report_canary();
         }
     }
 
-    /// Probes some servers, where only their own reports count.
-    fn confirm(&self, answered: &Sender<()>) {
+    /// Probes servers if the gateway has no lease or its lease ends soon: without one, a server may get new work only by
+    /// its own recent report. Each response is signalled on `probe_ended`.
+    fn probe_servers(&self, probe_ended: &Sender<()>) {
         let (rules, loaded) = (&self.rules, self.handle.loaded());
-        let Some(a) = &loaded.file.consensus else { return };
+        let Some(settings) = &loaded.file.consensus else { return };
         let now = rules.clock.now();
         let mut guard = rules.task.guard();
-        let due = guard.servers_to_probe(now, rules.timing.confirmation_lead, rules.self_id, a.confirm_nodes);
-        for node in due {
-            let address = node.to_string();
+        let due = guard.servers_to_probe(
+            now,
+            rules.timing.confirmation_lead,
+            rules.self_id,
+            settings.confirm_nodes,
+        );
+        for server in due {
+            let address = server.to_string();
             guard.record_probe(&address, now);
             metrics::counter!("frostgauge_confirmations").increment(1);
-            let (rules, answered, held) = (rules.clone(), answered.clone(), self.held.clone());
-            let (path, loaded) = (a.confirm_path.clone(), loaded.clone());
-            let work = async move {
-                let l = &loaded.file.limits;
+            let (rules, probe_ended, pool) = (rules.clone(), probe_ended.clone(), self.pool.clone());
+            let (path, loaded) = (settings.confirm_path.clone(), loaded.clone());
+            let probe = async move {
+                let settings = &loaded.file.limits;
                 let limits = Limits {
-                    line: l.line_bytes,
-                    fields: l.fields,
-                    head: l.head_bytes,
+                    line: settings.line_bytes,
+                    fields: settings.fields,
+                    head: settings.head_bytes,
                     body: MAX_PROBE_BODY_BYTES,
                 };
-                let timeout = Duration::from_millis(l.connect_ms);
-                let path_to_node = BudgetedPath::probe(&held, node);
-                let ended = upstream::probe(&path_to_node, node, &path, &limits, timeout).await;
+                let timeout = Duration::from_millis(settings.connect_ms);
+                let connection_path = BudgetedPath::probe(&pool, server);
+                let ended = upstream::probe(&connection_path, server, &path, &limits, timeout).await;
                 if let Some(response) = ended.response {
                     let ready = response.head.one(NOT_RUN) != Some("draining");
                     rules.task.guard().record_report(&address, now, ready);
-                    let _ = answered.try_send(());
+                    let _ = probe_ended.try_send(());
                 }
             };
-            self.executor.spawn(work).detach();
+            self.executor.spawn(probe).detach();
         }
     }
 
-    fn report(&mut self) {
+    /// Reports the canary verdict to the replicas if it has changed.
+    fn report_canary(&mut self) {
         let now = self.rules.clock.now();
-        let alone = {
+        // Attempts count for the canary only while the lease is on a single version.
+        let single_version = {
             let guard = self.rules.task.guard();
             match guard.view().at(now).0 {
-                RuleSource::Lease(set, _) if set.len() == 1 => set.first().copied(),
+                RuleSource::Lease(versions, _) if versions.len() == 1 => versions.first().copied(),
                 _ => None,
             }
         };
         let mut verdict = None;
-        self.rules.canary(|t| {
-            t.set_version(now, alone);
-            verdict = t.verdict(now);
+        self.rules.with_canary(|canary| {
+            canary.set_version(now, single_version);
+            verdict = canary.verdict(now);
         });
-        if let Some(new) = verdict.filter(|v| self.reported != Some(*v)) {
-            if self.rules.task.send(Command::ReportCanary(new)) {
+        if let Some(changed) = verdict.filter(|verdict| self.reported != Some(*verdict)) {
+            if self.rules.task.send(Command::ReportCanary(changed)) {
                 self.reported = verdict;
             }
         }
--- a/crates/gateway/src/fleet_rules/mod.rs
+++ b/crates/gateway/src/fleet_rules/mod.rs
@@ -1,5 +1,5 @@
-//! The fleet's agreed rules in this gateway: who may come in, which servers the decisions see, and the check right before
-//! an attempt's bytes go. The rules come from `frostgauge-fleet-agent`, whose task runs beside the engine.
+//! The fleet rules in this gateway: admission of requests, the servers that the decision library may use, and the check
+//! right before an attempt is sent. The rules come from `frostgauge-fleet-agent`, whose task runs beside the engine.
 
 mod admission;
 mod attempt_check;
@@ -21,7 +21,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The fleet's rules, for the other parts of this gateway.
+/// Access to the fleet rules for the other parts of this gateway.
 #[derive(Clone, Debug)]
 pub struct FleetRules {
     task: TaskHandle,
@@ -32,26 +32,27 @@
 }
 
 impl FleetRules {
-    /// The task of the fleet agent.
+    /// Handle of the fleet agent's task.
     pub fn task(&self) -> &TaskHandle {
         &self.task
     }
 
-    /// The servers as the decisions are to see them: those that the rules and, without a lease, their own reports allow
-    /// new work are ready; others of the settings get nothing new.
+    /// The list of servers for the decision library. Servers that may get new work are ready: the rules allow it and,
+    /// without a lease, their own reports confirm it. All other servers of the settings are draining.
     pub fn server_entries(&self, loaded: &Loaded) -> Vec<(SocketAddr, ServerEntry)> {
-        let (open, zones) = self.eligible_nodes();
+        let (eligible, zones) = self.eligible_servers();
         let mut entries: Vec<(SocketAddr, ServerEntry)> = vec![];
         for node in &loaded.nodes {
             let mut entry = node.entry.clone();
-            if !open.contains(&node.address) {
+            if !eligible.contains(&node.address) {
                 entry.state = ServerState::Draining;
             }
             entries.push((node.address, entry));
         }
-        let named: BTreeSet<SocketAddr> = loaded.nodes.iter().map(|n| n.address).collect();
-        for address in open.difference(&named) {
-            let zone = zones.get(address).and_then(|z| loaded.file.zones.iter().position(|k| k == z));
+        let configured: BTreeSet<SocketAddr> = loaded.nodes.iter().map(|node| node.address).collect();
+        for address in eligible.difference(&configured) {
+            let zone =
+                zones.get(address).and_then(|zone| loaded.file.zones.iter().position(|name| name == zone));
             let entry = ServerEntry {
                 server: server_id(*address),
                 state: ServerState::Ready,
@@ -65,23 +66,28 @@
         entries
     }
 
-    /// Servers that may get new work now, and their zones by the rules.
-    fn eligible_nodes(&self) -> (BTreeSet<SocketAddr>, BTreeMap<SocketAddr, String>) {
+    /// Addresses of the servers that may get new work now, and their zones according to the rules.
+    fn eligible_servers(&self) -> (BTreeSet<SocketAddr>, BTreeMap<SocketAddr, String>) {
         let now = self.clock.now();
         let guard = self.task.guard();
         let zones = &guard.view().at(now).1.zones;
-        let open: Vec<(&str, SocketAddr)> =
-            guard.eligible_servers(now).filter_map(|(name, a)| Some((name, a.parse().ok()?))).collect();
+        let eligible: Vec<(&str, SocketAddr)> = guard
+            .eligible_servers(now)
+            .filter_map(|(name, address)| Some((name, address.parse().ok()?)))
+            .collect();
         let zone = |name: &str| zones.get(name).cloned().unwrap_or_default();
-        (open.iter().map(|(_, a)| *a).collect(), open.iter().map(|(n, a)| (*a, zone(n))).collect())
+        (
+            eligible.iter().map(|(_, address)| *address).collect(),
+            eligible.iter().map(|(name, address)| (*address, zone(name))).collect(),
+        )
     }
 
-    /// The check before an attempt's bytes go to a server.
-    pub fn attempt_check(&self, tenant: &str, class: &str, node: SocketAddr) -> AttemptCheck {
-        AttemptCheck::new(self.clone(), tenant, class, node)
+    /// Creates the check of an attempt at a server.
+    pub fn attempt_check(&self, tenant: &str, class: &str, server: SocketAddr) -> AttemptCheck {
+        AttemptCheck::new(self.clone(), tenant, class, server)
     }
 
-    fn canary(&self, run: impl FnOnce(&mut CanaryObserver)) {
+    fn with_canary(&self, run: impl FnOnce(&mut CanaryObserver)) {
         run(&mut self.canary.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
--- a/crates/gateway/src/fleet_rules/runtime.rs
+++ b/crates/gateway/src/fleet_rules/runtime.rs
@@ -1,4 +1,4 @@
-//! Starts and ends what runs the fleet's rules beside the engine.
+//! Starts and stops the tasks, connections and the thread that keep the fleet rules up to date.
 
 use super::maintenance::Maintenance;
 use super::FleetRules;
@@ -18,46 +18,48 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Messages from other gateways that may wait for the task; while it is full, their connections wait.
+/// Maximum number of messages from other gateways queued for the agent's task; while the queue is full, their
+/// connections are not read.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
 
-/// Why the part of the fleet's rules cannot start.
+/// Why the fleet rules cannot be started.
 #[derive(Debug, Error)]
 pub enum FleetRulesError {
-    /// The times of the settings do not fit together.
+    /// The durations in the settings contradict each other.
     #[error("{0}")]
     Timing(String),
     /// The gateway's number does not fit in 16 bits.
-    #[error("gateway.number: is over 65535")]
+    #[error("gateway.number: is over 65535, the maximum")]
     GatewayNumber,
-    /// The settings name no address of this gateway for its peers.
-    #[error("accord.links: does not name this gateway")]
+    /// `accord.links` has no address for this gateway.
+    #[error("accord.links: has no address for this gateway's number (gateway.number)")]
     NotInLinks,
-    /// The address for its peers cannot be listened on.
-    #[error("accord.links {address}: {source}")]
+    /// The gateway cannot listen for its peers on its address.
+    #[error("accord.links: cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The agent cannot start.
+    /// The fleet agent cannot start.
     #[error(transparent)]
     Agent(#[from] AgentError),
 }
 
-/// The fleet's rules, with what runs them.
+/// The fleet rules with the thread and the connections that keep them up to date.
 pub struct RunningFleetRules {
-    /// The rules.
+    /// Access to the rules.
     pub rules: FleetRules,
-    /// Connections to servers under them.
+    /// Connections to servers, within the connection budgets of the rules.
     pub pool: Arc<BudgetedPool>,
+    /// Notifications that the rules in effect or the permits have changed.
     changes: Receiver<()>,
     thread: std::thread::JoinHandle<()>,
     peer_connections: Hold,
 }
 
-/// Starts the task and the peer connections of the settings; none: they have no such section.
+/// Starts the fleet agent's task and the peer connections. Returns `None` if the settings have no section `accord`.
 ///
 /// # Errors
 /// See [`FleetRulesError`].
@@ -66,35 +68,37 @@
     clock: Clock,
     executor: &Arc<Executor<'static>>,
 ) -> Result<Option<RunningFleetRules>, FleetRulesError> {
-    let (Some(a), Some(secret)) = (&loaded.file.consensus, &loaded.link_secret) else { return Ok(None) };
-    let timing = a.timing().map_err(|error| FleetRulesError::Timing(error.to_string()))?;
+    let (Some(settings), Some(secret)) = (&loaded.file.consensus, &loaded.link_secret) else {
+        return Ok(None);
+    };
+    let timing = settings.timing().map_err(|error| FleetRulesError::Timing(error.to_string()))?;
     let number = loaded.file.gateway.number;
     let self_id = u16::try_from(number).map_err(|_| FleetRulesError::GatewayNumber)?;
-    let address = a.listen_address(number).ok_or(FleetRulesError::NotInLinks)?;
+    let address = settings.listen_address(number).ok_or(FleetRulesError::NotInLinks)?;
     let listener =
         frostgauge_net::listen(address).map_err(|source| FleetRulesError::Listen { address, source })?;
     let (peer_connections, closing) = Closing::new();
-    let (bytes, inbox) = async_channel::bounded(MAX_QUEUED_MESSAGES);
+    let (received, inbox) = async_channel::bounded(MAX_QUEUED_MESSAGES);
     let config = frostgauge_peer_transport::Config {
         self_id,
-        addresses: a.peer_addresses.clone(),
+        addresses: settings.peer_addresses.clone(),
         key: frostgauge_peer_transport::Key::derive(secret.expose()),
         source: loaded.file.gateway.source,
         stall_timeout: Duration::from_micros(timing.peer_stall_timeout),
         max_reconnect_delay: Duration::from_micros(timing.max_reconnect_delay),
     };
-    let transport = PeerTransport::start(config, listener, bytes, closing, executor.clone());
+    let transport = PeerTransport::start(config, listener, received, closing, executor.clone());
     let (change, changes) = async_channel::bounded(1);
     let process =
-        ProcessConfig { self_id, replicas: a.voters.clone(), timing, random_seed: 0, exclusive: true };
+        ProcessConfig { self_id, replicas: settings.voters.clone(), timing, random_seed: 0, exclusive: true };
     let (origin, origin_micros) = clock.origin();
     let config = TaskConfig {
         process,
-        folder: loaded.folder.join(&a.folder),
+        folder: loaded.folder.join(&settings.folder),
         clock: TaskClock { origin, origin_micros },
         inbox,
         transport,
-        // A notification that waits already is enough.
+        // The channel holds one notification; a second one would add nothing.
         on_change: Box::new(move || {
             let _ = change.try_send(());
         }),
@@ -103,9 +107,11 @@
     let canary = Arc::new(Mutex::new(CanaryObserver::new(timing.canary_observation)));
     let rules = FleetRules { task, canary, clock, self_id, timing };
     let limits = &loaded.file.limits;
-    let (life, outlives) =
-        (Duration::from_millis(limits.pool_idle_ms), Duration::from_micros(timing.peer_stall_timeout));
-    let bounds = PoolBounds { max_idle: limits.pool, max_idle_time: life, close_timeout: outlives };
+    let bounds = PoolBounds {
+        max_idle: limits.pool,
+        max_idle_time: Duration::from_millis(limits.pool_idle_ms),
+        close_timeout: Duration::from_micros(timing.peer_stall_timeout),
+    };
     let pool =
         BudgetedPool::new(Arc::new(rules.clone()), executor.clone(), loaded.file.gateway.source, bounds);
     Ok(Some(RunningFleetRules { rules, pool, changes, thread, peer_connections }))
@@ -124,25 +130,26 @@
         executor.spawn(maintenance.run()).detach();
     }
 
-    /// Closes all connections to servers and reports that to the replicas, so that their permits are free at once. Given
-    /// up after the time of a lease: the replicas then wait until all is surely over.
+    /// Closes all connections to servers and reports that to the replicas, so that the permits are free at once. Waits at
+    /// most the duration of a lease for the connections to close; the replicas keep the permits of those still open until
+    /// they are certain to be closed.
     pub async fn close_server_connections(&self) {
         if !self.rules.task.guard().has_permits() {
             return;
         }
         self.pool.start_leaving();
         let timing = self.rules.timing;
-        let end = self.rules.clock.now() + timing.lease;
-        while !self.rules.task.guard().all_closed() && self.rules.clock.now() < end {
+        let deadline = self.rules.clock.now() + timing.lease;
+        while !self.rules.task.guard().all_closed() && self.rules.clock.now() < deadline {
             Timer::after(Duration::from_micros(timing.tick)).await;
         }
         if self.rules.task.send(Command::RequestLease) {
-            // Time for the request to reach the replicas and go through their log.
+            // The request needs time to reach the replicas and to be committed in their log.
             Timer::after(Duration::from_micros(timing.request_interval)).await;
         }
     }
 
-    /// Ends the task and its peer connections.
+    /// Stops the agent's task and closes its peer connections; waits for its thread to end.
     pub fn stop(self) {
         drop(self.peer_connections);
         self.rules.task.send(Command::Stop);
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -25,7 +25,8 @@
     UnknownTenant,
     /// The fleet rules do not allow this tenant the class of the request.
     NotAllowed,
-    /// The gateway has no lease on the fleet rules, so the fallback rules apply, and they do not admit this request.
+    /// The fleet rules allow no attempt of this request now; mostly because the gateway has no lease, and the fallback
+    /// rules do not admit the request.
     FallbackRulesOnly {
         /// Time after which the client may retry, µs.
         retry_after: Micros,
