--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A core driven by hand: settings in memory, a clock that the test moves.
+//! A core without an engine: the settings are in memory, and the test advances the clock.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use frostgauge::{ServerId, Status};
@@ -10,9 +10,11 @@
 use std::os::unix::fs::PermissionsExt;
 use std::sync::OnceLock;
 
+/// Microseconds per millisecond.
 pub const MS: u64 = 1_000;
+/// Microseconds per second.
 pub const S: u64 = 1_000_000;
-/// Classes by index, as names sort.
+/// Indexes of the classes, which are ordered by name.
 pub const PHOTO: usize = 1;
 pub const READ: usize = 0;
 pub const REPORT: usize = 2;
@@ -42,38 +44,41 @@
     LOADED.get_or_init(|| read_settings(SETTINGS)).clone()
 }
 
-/// The same with preference between its two zones, and a limit on what crosses.
-pub fn zoned() -> Loaded {
+/// The same settings with a preference for zone a over zone b, and a limit on the spill from a to b.
+pub fn zoned_settings() -> Loaded {
     let policy = "zone_policy: { tiers: { a: [['a'], ['b']] }, limits: { a: { b: { rate: 20 } } }, hold_ms: 1000, ramp_ms: 4000 },\n  zones:";
     read_settings(&SETTINGS.replace("zones:", policy))
 }
 
 fn read_settings(text: &str) -> Loaded {
-    let name = format!("frostgauge-core-{}-{:?}", std::process::id(), std::thread::current().id());
-    let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    std::fs::write(folder.join("client"), "sesame").expect("written");
+    let folder_name = format!("frostgauge-core-{}-{:?}", std::process::id(), std::thread::current().id());
+    let folder = std::env::temp_dir().join(folder_name);
+    std::fs::create_dir_all(&folder).expect("the test folder can be created");
+    std::fs::write(folder.join("client"), "sesame").expect("the secret can be written");
     let mode = std::fs::Permissions::from_mode(0o600);
-    std::fs::set_permissions(folder.join("client"), mode).expect("set");
-    std::fs::write(folder.join("s.jsonnet"), text).expect("written");
-    let loaded = load(&folder.join("s.jsonnet")).expect("good settings");
+    std::fs::set_permissions(folder.join("client"), mode).expect("the mode can be set");
+    std::fs::write(folder.join("s.jsonnet"), text).expect("the settings can be written");
+    let loaded = load(&folder.join("s.jsonnet")).expect("the settings are valid");
     let _ = std::fs::remove_dir_all(&folder);
     loaded
 }
 
-/// A core with its clock and what it has said.
+/// A core with its clock and a record of its commands. Like an engine, it keeps track of calls and attempts.
 pub struct Host {
     pub core: Core,
     pub now: u64,
+    /// Commands not yet recorded.
     pub out: Vec<Command>,
-    pub next: u64,
-    /// Attempts out, by request and attempt.
+    pub last_call_id: u64,
+    /// Servers of the attempts in flight, by call and number of the attempt.
     pub running: BTreeMap<(u64, u32), ServerId>,
-    /// GatewayAnswer answers by request: none for a node's.
+    /// Final answers by call; `None` is a server's response.
     pub answers: BTreeMap<u64, Vec<Option<GatewayAnswer>>>,
-    /// Questions out, by number, with the token.
-    pub flights: BTreeMap<u64, [u8; 16]>,
+    /// Tokens of the pending introspection requests, by number of the request.
+    pub introspections: BTreeMap<u64, [u8; 16]>,
+    /// Attempts that the core cancelled, by call and number of the attempt.
     pub cancelled: BTreeSet<(u64, u32)>,
+    /// All attempts sent so far: call, number of the attempt, server.
     pub sends: Vec<(u64, u32, ServerId)>,
 }
 
@@ -84,25 +89,25 @@
 
     pub fn with(loaded: &Loaded) -> Host {
         let now = 1_000_000 * S;
-        let core = Core::new(loaded, 7, now).expect("good settings");
+        let core = Core::new(loaded, 7, now).expect("the settings are valid");
         let mut host = Host {
             core,
             now,
             out: vec![],
-            next: 0,
+            last_call_id: 0,
             running: BTreeMap::new(),
             answers: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            introspections: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             sends: vec![],
         };
         host.core.advance(now, &mut host.out);
-        host.settle();
+        host.record_commands();
         host
     }
 
-    /// Books the commands given so far, as the engine would carry them out.
-    pub fn settle(&mut self) {
+    /// Records the commands returned so far; cancelled attempts end at once, as in the engine.
+    pub fn record_commands(&mut self) {
         while !self.out.is_empty() {
             for command in std::mem::take(&mut self.out) {
                 match command {
@@ -113,14 +118,16 @@
                     Command::Cancel { call_id, attempt } => {
                         if let Some(server) = self.running.remove(&(call_id, attempt)) {
                             self.cancelled.insert((call_id, attempt));
-                            self.ended(call_id, attempt, server, Status::Cancelled);
+                            self.attempt_ended(call_id, attempt, server, Status::Cancelled);
                         }
                     }
                     Command::Deliver { call_id, .. } => self.answers.entry(call_id).or_default().push(None),
                     Command::Answer { call_id, answer } => {
                         self.answers.entry(call_id).or_default().push(Some(answer));
                     }
-                    Command::Introspect { flight, token, .. } => drop(self.flights.insert(flight, token)),
+                    Command::Introspect { flight, token, .. } => {
+                        self.introspections.insert(flight, token);
+                    }
                     _ => {}
                 }
             }
@@ -129,18 +136,18 @@
 
     pub fn input(&mut self, input: Input) {
         self.core.handle(self.now, input, &mut self.out);
-        self.settle();
+        self.record_commands();
     }
 
-    /// A call with the token of this number.
+    /// Hands in a call whose token consists of this byte, with a timeout of 1.5 s; returns its number.
     pub fn call(&mut self, class: usize, token: u8) -> u64 {
-        self.call_waiting(class, token, 1_500 * MS)
+        self.call_with_timeout(class, token, 1_500 * MS)
     }
 
-    pub fn call_waiting(&mut self, class: usize, token: u8, timeout: u64) -> u64 {
-        self.next += 1;
+    pub fn call_with_timeout(&mut self, class: usize, token: u8, timeout: u64) -> u64 {
+        self.last_call_id += 1;
         let metadata = CallMetadata {
-            call_id: self.next,
+            call_id: self.last_call_id,
             token: [token; 16],
             class,
             units: 1.0,
@@ -150,23 +157,28 @@
             is_retry: false,
         };
         self.input(Input::Call(metadata));
-        self.next
+        self.last_call_id
     }
 
-    /// A call whose tenant is known with it, as on the platform.
-    pub fn known(&mut self, class: usize, tenant: Tenant) -> u64 {
-        self.next += 1;
+    /// Hands in a call whose tenant is known without a token, as on the platform; returns its number.
+    pub fn authenticated_call(&mut self, class: usize, tenant: Tenant) -> u64 {
+        self.last_call_id += 1;
         let (units, scope, is_retry) = (1.0, "".into(), false);
-        let (call_id, token, arrived, timeout) = (self.next, [0; 16], self.now, 1_500 * MS);
+        let (call_id, token, arrived, timeout) = (self.last_call_id, [0; 16], self.now, 1_500 * MS);
         let metadata = CallMetadata { call_id, token, class, units, scope, arrived, timeout, is_retry };
         self.input(Input::AuthenticatedCall { metadata, tenant });
-        self.next
+        self.last_call_id
     }
 
-    /// Answers the question about a token.
-    pub fn verdict(&mut self, token: u8, subject: Option<&str>) {
-        let flight = *self.flights.iter().find(|f| *f.1 == [token; 16]).expect("a question").0;
-        self.flights.remove(&flight);
+    /// Answers the pending introspection request of a token: the token is valid if there is a subject.
+    pub fn introspected(&mut self, token: u8, subject: Option<&str>) {
+        let flight = *self
+            .introspections
+            .iter()
+            .find(|pending| *pending.1 == [token; 16])
+            .expect("an introspection request of this token is pending")
+            .0;
+        self.introspections.remove(&flight);
         let answer = match subject {
             Some(name) => Answer::Good {
                 grant: Grant { subject: name.into(), scopes: vec!["claims".into()] },
@@ -177,7 +189,7 @@
         self.input(Input::Introspected { flight, answer: Some(answer) });
     }
 
-    fn ended(&mut self, call_id: u64, attempt: u32, server: ServerId, status: Status) {
+    fn attempt_ended(&mut self, call_id: u64, attempt: u32, server: ServerId, status: Status) {
         let input = Input::AttemptEnded {
             call_id,
             attempt,
@@ -190,32 +202,34 @@
         self.core.handle(self.now, input, &mut self.out);
     }
 
-    /// Ends an attempt that is out.
-    pub fn end(&mut self, call_id: u64, attempt: u32, status: Status) {
-        let server = self.running.remove(&(call_id, attempt)).expect("it is out");
-        self.ended(call_id, attempt, server, status);
-        self.settle();
+    /// Ends an attempt that is in flight.
+    pub fn end_attempt(&mut self, call_id: u64, attempt: u32, status: Status) {
+        let server = self.running.remove(&(call_id, attempt)).expect("the attempt is in flight");
+        self.attempt_ended(call_id, attempt, server, status);
+        self.record_commands();
     }
 
-    /// Lets time pass, waking the core when it wants.
-    pub fn pass(&mut self, span: u64) {
-        let end = self.now + span;
+    /// Advances the clock by a duration, µs, and the core at each of its timers.
+    pub fn advance_clock(&mut self, duration: u64) {
+        let end = self.now + duration;
         while let Some(at) = self.core.next_wake().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             self.core.advance(self.now, &mut self.out);
-            self.settle();
+            self.record_commands();
         }
         self.now = end;
     }
 
-    /// The one answer of a request, if it has any; more than one fails the test.
+    /// The final answer of a call, if it has one, and `None` within for a server's response; a second answer fails the
+    /// test.
     pub fn answer(&self, call_id: u64) -> Option<Option<GatewayAnswer>> {
-        let all = self.answers.get(&call_id)?;
-        assert_eq!(all.len(), 1, "request {call_id}: {all:?}");
-        Some(all[0])
+        let answers = self.answers.get(&call_id)?;
+        assert_eq!(answers.len(), 1, "answers of call {call_id}: {answers:?}");
+        Some(answers[0])
     }
 
-    pub fn out_of(&self, call_id: u64) -> Vec<u32> {
-        self.running.keys().filter(|k| k.0 == call_id).map(|k| k.1).collect()
+    /// Numbers of a call's attempts in flight.
+    pub fn attempts_in_flight(&self, call_id: u64) -> Vec<u32> {
+        self.running.keys().filter(|key| key.0 == call_id).map(|key| key.1).collect()
     }
 }
--- a/crates/gateway/tests/pages.rs
+++ b/crates/gateway/tests/pages.rs
@@ -9,7 +9,7 @@
 
 use async_executor::Executor;
 use async_io::{block_on, Async};
-use common::zoned;
+use common::zoned_settings;
 use fixture::assert_recorded;
 use frostgauge_gateway::admin;
 use frostgauge_gateway::clock::Clock;
@@ -44,7 +44,8 @@
         std::thread::spawn(move || {
             let executor = Arc::new(Executor::new());
             let (engine, handle) =
-                engine(zoned(), 1, Clock::default(), executor.clone(), None, None).expect("an engine");
+                engine(zoned_settings(), 1, Clock::default(), executor.clone(), None, None)
+                    .expect("an engine");
             executor.spawn(engine.run()).detach();
             let (_close, closing) = Closing::new();
             let metrics = admin::install_metrics().expect("metrics");
