--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -74,7 +74,7 @@
     pub abandoned: u64,
 }
 
-/// The decisions of one gateway with their state.
+/// The decision-making part of one gateway, with its state.
 pub struct Core {
     library: Gateway<ZoneGate>,
     identity: Identity,
@@ -209,7 +209,7 @@
         &self.identity
     }
 
-    /// The state of the zones; `None` if the settings have no `zone_policy`.
+    /// The state of the zones; `None` if the settings have no `zone_policy` for this gateway's zone.
     pub fn zones(&self) -> Option<&Zones> {
         self.library.gate.zones.as_ref()
     }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -65,7 +65,7 @@
     pub server: ServerId,
     /// Timeout of the attempt, µs.
     pub timeout: Micros,
-    /// The caller's verified identity and scopes.
+    /// The caller's verified identity and scopes; empty if no token was checked.
     pub grant: Arc<frostgauge_identity::Grant>,
     /// When the call's first attempt that may have run was sent, µs; `None` if there is none.
     pub first_run_sent_at: Option<Micros>,
@@ -207,7 +207,8 @@
     /// Creates a handle and the receiving end of its queue, for [`Engine::new`].
     pub fn new(clock: Clock, shared: H::Shared) -> (Handle<H>, Receiver<Message<H>>) {
         let (inbox, messages) = async_channel::bounded(MAX_QUEUED_MESSAGES);
-        // Call ids restart at 1 with each process; where they leave it, the start time tells processes apart.
+        // Call ids restart at 1 in each process; wherever they are sent to servers, the start time of the process is
+        // sent with them.
         (Handle { inbox, next_call: Arc::new(AtomicU64::new(1)), shared, clock }, messages)
     }
 
@@ -282,7 +283,7 @@
     /// Runs until [`Message::Stop`].
     pub async fn run(mut self) {
         let mut commands = Vec::new();
-        // The first pass takes no message, so that the core sets its timers at once.
+        // The first pass does not wait for a message, so that the core and the host start at once.
         let mut first = true;
         loop {
             let message = match self.core.next_wake().filter(|_| !first) {
@@ -383,11 +384,11 @@
             usage: used,
             load,
         };
-        let from = out.len();
+        let first_new = out.len();
         self.core.handle(now, input, out);
         let deliver = Command::Deliver { call_id, attempt };
-        if let Some(at) = out[from..].iter().position(|c| *c == deliver) {
-            out.remove(from + at);
+        if let Some(offset) = out[first_new..].iter().position(|command| *command == deliver) {
+            out.remove(first_new + offset);
             if let (Some(response), Some(OpenCall { call, .. })) = (response, self.calls.remove(&call_id)) {
                 self.answer_stats.answer("served", "served", now.saturating_sub(call.arrived));
                 let _ = call.reply.try_send(Reply::Server(response));
@@ -446,7 +447,13 @@
         let (kind, reason) = (answer_kind(&answer), answer.reason());
         self.answer_stats.answer(kind, reason, now.saturating_sub(call.arrived));
         if let Some(suppressed) = self.throttle.pass(now, reason) {
-            tracing::info!(request = call_id, kind, reason, more = suppressed, "not served");
+            tracing::info!(
+                request = call_id,
+                kind,
+                reason,
+                more = suppressed,
+                "request answered without a server response"
+            );
         }
         let _ = call.reply.try_send(Reply::Gateway(answer));
     }
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -140,7 +140,7 @@
         server: ServerId,
         /// Timeout of the attempt, µs.
         timeout: Micros,
-        /// The caller's verified identity and scopes.
+        /// The caller's verified identity and scopes; empty if no token was checked.
         grant: Arc<Grant>,
     },
     /// Cancel an attempt; its end is still handed in.
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -13,7 +13,8 @@
 /// The zone decisions, and the zone of each server.
 #[derive(Debug, Default)]
 pub struct ZoneGate {
-    /// The zone decisions; `None` if the settings have no `zone_policy`, and then every zone is available.
+    /// The zone decisions; `None` if the settings have no policy for this gateway's zone, and then every zone is
+    /// available.
     pub zones: Option<Zones>,
     server_zones: BTreeMap<ServerId, u32>,
 }
@@ -31,17 +32,18 @@
     }
 }
 
-/// Converts the settings into the configuration of `frostgauge-zones`; `None` if they have no `zone_policy`.
+/// Converts the settings into the configuration of `frostgauge-zones`; `None` if they have no `zone_policy`, or if it has
+/// no tiers for this gateway's zone.
 fn config(loaded: &Loaded) -> Option<Config> {
     let (file, policy) = (&loaded.file, loaded.file.zone_policy.as_ref()?);
     let (own_number, own_zone) = (file.gateway.number, &file.gateway.zone);
     let zone_index = |zone: &String| file.zones.iter().position(|z| z == zone).map(|index| index as u32);
     let tiers = policy.tiers.get(own_zone)?.iter().map(|tier| tier.iter().filter_map(zone_index).collect());
     let limits = policy.limits.get(own_zone);
-    let limits = file
-        .zones
-        .iter()
-        .map(|zone| limits.and_then(|l| l.get(zone)).map(|l| Limit { rate: l.rate, share: l.share }));
+    let limits = file.zones.iter().map(|zone| {
+        let limit = limits.and_then(|limits| limits.get(zone));
+        limit.map(|limit| Limit { rate: limit.rate, share: limit.share })
+    });
     // A limit applies to the gateways of this zone together, which take turns. Where the settings do not name the
     // zones of the gateways, all gateways of the fleet take turns.
     let in_own_zone = |n: usize| file.fleet.zones.iter().take(n).filter(|zone| *zone == own_zone).count();
@@ -70,7 +72,10 @@
 impl ZoneGate {
     /// Creates the gate for these settings, with no servers yet.
     pub fn new(loaded: &Loaded, now: Micros) -> ZoneGate {
-        ZoneGate { zones: config(loaded).map(|c| Zones::new(c, now)), server_zones: BTreeMap::new() }
+        ZoneGate {
+            zones: config(loaded).map(|config| Zones::new(config, now)),
+            server_zones: BTreeMap::new(),
+        }
     }
 
     /// Replaces the list of servers.
