--- a/crates/cli/src/counter.rs
+++ b/crates/cli/src/counter.rs
@@ -105,7 +105,7 @@
     writeln!(
         out,
         "recovery: from snapshot {}, {} records, to {}",
-        recovery.snapshot_index, recovery.replayed_records, report.index
+        recovery.snapshot_index, recovery.replayed_records, report.recovered_index
     )?;
     let torn_file = match &recovery.torn_tail {
         Some((name, offset, bytes)) => {
--- a/crates/counter-service/src/bin/frostgauge-counter.rs
+++ b/crates/counter-service/src/bin/frostgauge-counter.rs
@@ -19,6 +19,6 @@
 
 fn main() -> ExitCode {
     let options = Options::parse();
-    frostgauge_counter_service::log(options.log_json);
+    frostgauge_counter_service::init_logging(options.log_json);
     ExitCode::from(frostgauge_counter_service::daemon::run(&options.config, false, std::time::Duration::ZERO))
 }
--- a/crates/counter-service/src/daemon.rs
+++ b/crates/counter-service/src/daemon.rs
@@ -19,11 +19,11 @@
 /// Exit codes, as the gateway's daemon has them.
 pub mod exit {
     /// It was told to end, and answered what waited.
-    pub const DONE: u8 = 0;
+    pub const SUCCESS: u8 = 0;
     /// It stopped by itself: a sync failed.
-    pub const FAILED: u8 = 1;
+    pub const RUNTIME_FAILURE: u8 = 1;
     /// It could not start: settings, files, a port in use.
-    pub const START: u8 = 2;
+    pub const STARTUP_FAILURE: u8 = 2;
 }
 
 /// Threads that serve sockets, beside the one that commits.
@@ -38,14 +38,14 @@
         Ok(loaded) => loaded,
         Err(faults) => {
             eprint!("{}: not usable:\n{faults}", config.display());
-            return exit::START;
+            return exit::STARTUP_FAILURE;
         }
     };
     let started =
         if no_log { start(loaded, VolatileStorage::default(), true) } else { on_disk(loaded, stretch) };
     started.unwrap_or_else(|reason| {
         eprintln!("frostgauge-counter: {reason}");
-        exit::START
+        exit::STARTUP_FAILURE
     })
 }
 
@@ -168,9 +168,9 @@
             Timer::after(LOOK).await;
         }
         if shared.failed().is_some() {
-            exit::FAILED
+            exit::RUNTIME_FAILURE
         } else {
-            exit::DONE
+            exit::SUCCESS
         }
     });
     drop((stop_staff, stop_threads));
--- a/crates/counter-service/src/lib.rs
+++ b/crates/counter-service/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod write_ahead_log;
 
 /// Sets up logging to standard error: text for people, or JSON lines. `FROSTGAUGE_LOG` filters it.
-pub fn log(json: bool) {
+pub fn init_logging(json: bool) {
     let filter = tracing_subscriber::EnvFilter::try_from_env("FROSTGAUGE_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
--- a/crates/counter-service/src/write_ahead_log/format.rs
+++ b/crates/counter-service/src/write_ahead_log/format.rs
@@ -9,16 +9,16 @@
 
 const CRC: Crc<u32, Table<16>> = Crc::<u32, Table<16>>::new(&CRC_32_ISCSI);
 /// First bytes of a segment; the last is the version of the format.
-pub const SEGMENT: &[u8; 8] = b"FGCLOG\0\x01";
+pub const SEGMENT_MAGIC: &[u8; 8] = b"FGCLOG\0\x01";
 /// Bytes of a segment's head.
-pub const SEGMENT_HEAD: usize = 8 + 8 + 4;
-const GROUP: &[u8; 4] = b"FGgr";
+pub const SEGMENT_HEADER_BYTES: usize = 8 + 8 + 4;
+const GROUP_MAGIC: &[u8; 4] = b"FGgr";
 /// Bytes of a group's head.
-pub const GROUP_HEAD: usize = 4 + 8 + 4 + 4 + 4;
-const RECORD_HEAD: usize = 2 + 4;
+pub const GROUP_HEADER_BYTES: usize = 4 + 8 + 4 + 4 + 4;
+const RECORD_HEADER_BYTES: usize = 2 + 4;
 
 /// A checksum, as in all files of the counter.
-pub fn crc(bytes: &[u8]) -> u32 {
+pub fn crc32c(bytes: &[u8]) -> u32 {
     CRC.checksum(bytes)
 }
 
@@ -31,26 +31,26 @@
 }
 
 /// A segment's head.
-pub fn segment_head(first: u64) -> Vec<u8> {
-    let mut out = SEGMENT.to_vec();
+pub fn encode_segment_header(first: u64) -> Vec<u8> {
+    let mut out = SEGMENT_MAGIC.to_vec();
     out.extend(first.to_be_bytes());
-    let sum = crc(&out);
+    let sum = crc32c(&out);
     out.extend(sum.to_be_bytes());
     out
 }
 
 /// The first index that a segment's head tells; `Err(true)`: it is of another format.
-pub fn read_segment_head(bytes: &[u8]) -> Result<u64, bool> {
-    let Some(head) = bytes.get(..SEGMENT_HEAD) else { return Err(false) };
-    if half(head, 16) == Some(crc(&head[..16])) {
-        return if head.starts_with(SEGMENT) { word(head, 8).ok_or(false) } else { Err(true) };
+pub fn decode_segment_header(bytes: &[u8]) -> Result<u64, bool> {
+    let Some(head) = bytes.get(..SEGMENT_HEADER_BYTES) else { return Err(false) };
+    if half(head, 16) == Some(crc32c(&head[..16])) {
+        return if head.starts_with(SEGMENT_MAGIC) { word(head, 8).ok_or(false) } else { Err(true) };
     }
     Err(false)
 }
 
 fn put_record(record: &Record, out: &mut Vec<u8>) {
     let from = out.len();
-    out.extend([0; RECORD_HEAD]);
+    out.extend([0; RECORD_HEADER_BYTES]);
     out.extend(record.index.to_be_bytes());
     out.extend(record.time_ms.to_be_bytes());
     out.extend(record.result.to_be_bytes());
@@ -71,33 +71,33 @@
             out.extend(name);
         }
     }
-    let len = (out.len() - from - RECORD_HEAD) as u16;
-    let sum = crc(&out[from + RECORD_HEAD..]);
+    let len = (out.len() - from - RECORD_HEADER_BYTES) as u16;
+    let sum = crc32c(&out[from + RECORD_HEADER_BYTES..]);
     out[from..from + 2].copy_from_slice(&len.to_be_bytes());
-    out[from + 2..from + RECORD_HEAD].copy_from_slice(&sum.to_be_bytes());
+    out[from + 2..from + RECORD_HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
 }
 
 /// Appends a group; there must be a record.
-pub fn put_group(records: &[Record], out: &mut Vec<u8>) {
+pub fn encode_group(records: &[Record], out: &mut Vec<u8>) {
     let from = out.len();
-    out.extend(GROUP);
+    out.extend(GROUP_MAGIC);
     out.extend(records.first().map_or(0, |r| r.index).to_be_bytes());
     out.extend((records.len() as u32).to_be_bytes());
     out.extend([0; 8]);
     records.iter().for_each(|record| put_record(record, out));
-    let len = (out.len() - from - GROUP_HEAD) as u32;
+    let len = (out.len() - from - GROUP_HEADER_BYTES) as u32;
     out[from + 16..from + 20].copy_from_slice(&len.to_be_bytes());
-    let sum = crc(&out[from..from + 20]);
-    out[from + 20..from + GROUP_HEAD].copy_from_slice(&sum.to_be_bytes());
+    let sum = crc32c(&out[from..from + 20]);
+    out[from + 20..from + GROUP_HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
 }
 
 /// Why a group cannot be read: where, from the start given, and what is wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct InvalidGroup {
     /// Bytes from the start.
-    pub at: usize,
+    pub offset: usize,
     /// What.
-    pub what: &'static str,
+    pub reason: &'static str,
 }
 
 fn read_op(kind: u8, f: &[u8]) -> Option<Operation> {
@@ -118,26 +118,28 @@
 ///
 /// # Errors
 /// What is wrong with it, and where.
-pub fn read_group(bytes: &[u8], at: usize) -> Result<(Vec<Record>, usize), Bad> {
-    let bad = |at, what| Err(Bad { at, what });
-    let Some(head) = bytes.get(at..at + GROUP_HEAD) else { return bad(at, "the head of a group is cut off") };
-    if !head.starts_with(GROUP) || half(head, 20) != Some(crc(&head[..20])) {
+pub fn decode_group(bytes: &[u8], at: usize) -> Result<(Vec<Record>, usize), InvalidGroup> {
+    let bad = |offset, reason| Err(InvalidGroup { offset, reason });
+    let Some(head) = bytes.get(at..at + GROUP_HEADER_BYTES) else {
+        return bad(at, "the head of a group is cut off");
+    };
+    if !head.starts_with(GROUP_MAGIC) || half(head, 20) != Some(crc32c(&head[..20])) {
         return bad(at, "the head of a group does not fit its checksum");
     }
     let (first, count, len) =
         (word(head, 4).unwrap_or(0), half(head, 12).unwrap_or(0), half(head, 16).unwrap_or(0));
-    let end = at + GROUP_HEAD + len as usize;
-    let (mut records, mut place) = (vec![], at + GROUP_HEAD);
+    let end = at + GROUP_HEADER_BYTES + len as usize;
+    let (mut records, mut place) = (vec![], at + GROUP_HEADER_BYTES);
     for k in 0..u64::from(count) {
-        let Some(head) = bytes.get(place..place + RECORD_HEAD) else {
+        let Some(head) = bytes.get(place..place + RECORD_HEADER_BYTES) else {
             return bad(place, "a record is cut off");
         };
-        let body = place + RECORD_HEAD;
+        let body = place + RECORD_HEADER_BYTES;
         let to = body + usize::from(u16::from_be_bytes([head[0], head[1]]));
         let Some(record) = bytes.get(body..to).filter(|_| to <= end) else {
             return bad(place, "a record is cut off");
         };
-        if half(head, 2) != Some(crc(record)) {
+        if half(head, 2) != Some(crc32c(record)) {
             return bad(place, "a record does not fit its checksum");
         }
         let fields = (|| {
@@ -159,9 +161,9 @@
 
 /// Whether a whole group with records past `index` begins anywhere from `from` on: what was written after it
 /// was written once it was durable.
-pub fn later_group(bytes: &[u8], from: usize, index: u64) -> Option<usize> {
-    (from..bytes.len().saturating_sub(GROUP_HEAD)).find(|at| {
-        bytes[*at..].starts_with(GROUP)
-            && read_group(bytes, *at).is_ok_and(|(r, _)| r.first().is_some_and(|r| r.index > index))
+pub fn find_later_group(bytes: &[u8], from: usize, index: u64) -> Option<usize> {
+    (from..bytes.len().saturating_sub(GROUP_HEADER_BYTES)).find(|at| {
+        bytes[*at..].starts_with(GROUP_MAGIC)
+            && decode_group(bytes, *at).is_ok_and(|(r, _)| r.first().is_some_and(|r| r.index > index))
     })
 }
--- a/crates/counter-service/src/write_ahead_log/mod.rs
+++ b/crates/counter-service/src/write_ahead_log/mod.rs
@@ -11,7 +11,7 @@
 
 pub use recover::{RecoveryError, RecoveryReport};
 
-use format::{put_group, segment_head, SEGMENT_HEAD};
+use format::{encode_group, encode_segment_header, SEGMENT_HEADER_BYTES};
 use frostgauge_counter_core::{Operation, Outcome, Record, StateMachine, Undo};
 use frostgauge_proto::counter::RejectReason;
 use frostgauge_storage::{is_out_of_space, Storage};
@@ -168,7 +168,7 @@
         }
         let Some((name, len)) = &mut self.segment else { return Err(io::ErrorKind::NotFound.into()) };
         let mut bytes = vec![];
-        put_group(records, &mut bytes);
+        encode_group(records, &mut bytes);
         self.storage.write_at(name, *len, &bytes)?;
         // A failed sync is the end: the system may have dropped the pages and call the next sync good.
         self.storage.sync(name).map_err(|e| io::Error::other(format!("sync of {name} failed: {e}")))?;
@@ -185,7 +185,7 @@
     fn begin_segment(&mut self, first: u64) -> io::Result<()> {
         let name = segment_name(first);
         let made = self.storage.create(&name).and_then(|()| {
-            self.storage.write_at(&name, 0, &segment_head(first))?;
+            self.storage.write_at(&name, 0, &encode_segment_header(first))?;
             self.storage.sync(&name).map_err(|e| io::Error::other(format!("sync of {name} failed: {e}")))?;
             // Its name must be durable before anything in it is told.
             self.storage
@@ -197,7 +197,7 @@
             return Err(error);
         }
         self.segments.push(first);
-        self.segment = Some((name, SEGMENT_HEAD as u64));
+        self.segment = Some((name, SEGMENT_HEADER_BYTES as u64));
         Ok(())
     }
 
--- a/crates/counter-service/src/write_ahead_log/recover.rs
+++ b/crates/counter-service/src/write_ahead_log/recover.rs
@@ -1,6 +1,8 @@
 //! The way back from what a crash left.
 
-use super::format::{later_group, read_group, read_segment_head, Bad, SEGMENT_HEAD};
+use super::format::{
+    decode_group, decode_segment_header, find_later_group, InvalidGroup, SEGMENT_HEADER_BYTES,
+};
 use super::{number, segment_name, snapshot_name, watermark, Config, WriteAheadLog};
 use frostgauge_counter_core::{Record, StateMachine};
 use frostgauge_storage::{read, Storage};
@@ -67,10 +69,10 @@
 pub(super) fn walk(
     bytes: &[u8],
     mut each: impl FnMut(usize, &Record) -> Result<(), String>,
-) -> Result<(usize, Option<Bad>), (usize, String)> {
-    let mut at = SEGMENT_HEAD;
+) -> Result<(usize, Option<InvalidGroup>), (usize, String)> {
+    let mut at = SEGMENT_HEADER_BYTES;
     while at < bytes.len() {
-        match read_group(bytes, at) {
+        match decode_group(bytes, at) {
             Ok((records, next)) => {
                 for record in &records {
                     each(at, record).map_err(|what| (at, what))?;
@@ -137,10 +139,10 @@
         let (name, last) = (segment_name(*first), k + 1 == firsts.len());
         let bytes = whole(storage, &name)?;
         let refuse = |at: usize, what: String| RecoveryError { file: name.clone(), offset: at, reason: what };
-        let good = match read_segment_head(&bytes) {
+        let good = match decode_segment_header(&bytes) {
             Ok(told) if told == *first => true,
             Err(true) => return Err(refuse(0, "is of another format or version".into())),
-            _ if last && later_group(&bytes, 0, 0).is_none() => false,
+            _ if last && find_later_group(&bytes, 0, 0).is_none() => false,
             _ => return Err(refuse(0, "its head is damaged".into())),
         };
         if !good {
@@ -164,13 +166,13 @@
         let (end, bad) = walked.map_err(|(at, what)| refuse(at, what))?;
         if let Some(bad) = bad {
             // Later groups are written once the earlier are durable: with one after it, this was.
-            if !last || later_group(&bytes, end + 1, next - 1).is_some() {
-                return Err(refuse(bad.at, bad.what.to_owned()));
+            if !last || find_later_group(&bytes, end + 1, next - 1).is_some() {
+                return Err(refuse(bad.offset, bad.reason.to_owned()));
             }
             if claimed >= next {
                 let what =
-                    format!("{}; records to {claimed} were durable, {next} is the first lost", bad.what);
-                return Err(refuse(bad.at, what));
+                    format!("{}; records to {claimed} were durable, {next} is the first lost", bad.reason);
+                return Err(refuse(bad.offset, what));
             }
             found.torn_tail = Some((name.clone(), end, bytes.len() - end));
         }
@@ -218,7 +220,7 @@
             let name = segment_name(*first);
             if k + 1 < segments.len() {
                 firsts.push(*first);
-            } else if bytes.len() == SEGMENT_HEAD {
+            } else if bytes.len() == SEGMENT_HEADER_BYTES {
                 // Empty: the next record makes it anew.
                 storage.remove(&name).map_err(|e| fail(&name, e))?;
             } else {
--- a/crates/counter-service/src/write_ahead_log/tools.rs
+++ b/crates/counter-service/src/write_ahead_log/tools.rs
@@ -1,6 +1,6 @@
 //! Looking at the files of a service: stopped, or (to verify) running.
 
-use super::format::{read_segment_head, SEGMENT_HEAD};
+use super::format::{decode_segment_header, SEGMENT_HEADER_BYTES};
 use super::recover::{examine, walk, RecoveryError, RecoveryReport};
 use super::{number, segment_name, snapshot_name, watermark, Config, WriteAheadLog};
 use frostgauge_counter_core::{units, Operation, Record, StateMachine};
@@ -18,7 +18,7 @@
     /// What recovery would make of it.
     pub recovery: Result<RecoveryReport, RecoveryError>,
     /// Last index that recovery would come to.
-    pub index: u64,
+    pub recovered_index: u64,
 }
 
 /// Reads every file whole, also those that recovery would not need. Of a running service the tail may be in
@@ -43,7 +43,7 @@
         } else if let Some(first) = number(name, "log-", ".fgl") {
             let bytes = whole()?;
             let mut records = 0;
-            if read_segment_head(&bytes) != Ok(first) {
+            if decode_segment_header(&bytes) != Ok(first) {
                 faults.push(format!("{name} at byte 0: its head is damaged or of another format"));
             } else {
                 let walked = walk(&bytes, |_, record| {
@@ -54,7 +54,9 @@
                         .ok_or(format!("record {} in place of {due}", record.index))
                 });
                 match walked {
-                    Ok((_, Some(bad))) => faults.push(format!("{name} at byte {}: {}", bad.at, bad.what)),
+                    Ok((_, Some(bad))) => {
+                        faults.push(format!("{name} at byte {}: {}", bad.offset, bad.reason))
+                    }
                     Err((at, what)) => faults.push(format!("{name} at byte {at}: {what}")),
                     Ok((_, None)) => {}
                 }
@@ -68,7 +70,7 @@
         Ok(reading) => (Ok(reading.found), reading.machine.index()),
         Err(refused) => (Err(refused), 0),
     };
-    Ok(VerifyReport { files, faults, recovery, index })
+    Ok(VerifyReport { files, faults, recovery, recovered_index: index })
 }
 
 /// A record as JSON.
@@ -98,17 +100,17 @@
     for (k, first) in firsts.iter().enumerate() {
         let name = segment_name(*first);
         let bytes = read(&disk, &name).map_err(|e| format!("{name}: {e}"))?;
-        if bytes.len() < SEGMENT_HEAD && k + 1 == firsts.len() {
+        if bytes.len() < SEGMENT_HEADER_BYTES && k + 1 == firsts.len() {
             return Ok(());
         }
-        read_segment_head(&bytes).map_err(|_| format!("{name} at byte 0: its head is damaged"))?;
+        decode_segment_header(&bytes).map_err(|_| format!("{name} at byte 0: its head is damaged"))?;
         let walked = walk(&bytes, |_, record| {
             each(record);
             Ok(())
         });
         match walked {
             Ok((_, Some(bad))) if k + 1 < firsts.len() => {
-                return Err(format!("{name} at byte {}: {}", bad.at, bad.what));
+                return Err(format!("{name} at byte {}: {}", bad.offset, bad.reason));
             }
             Err((at, what)) => return Err(format!("{name} at byte {at}: {what}")),
             Ok(_) => {}
--- a/crates/counter-service/src/write_ahead_log/watermark.rs
+++ b/crates/counter-service/src/write_ahead_log/watermark.rs
@@ -4,7 +4,7 @@
 //! The log alone cannot tell; this file can. It is not synced with each group (that would cost a second sync),
 //! so after a loss of power it may tell of less than is durable, never of more.
 
-use super::format::crc;
+use super::format::crc32c;
 
 /// Its name.
 pub const NAME: &str = "durable";
@@ -24,7 +24,7 @@
 /// A slot that claims all up to an index.
 pub fn slot(index: u64) -> Vec<u8> {
     let mut out = index.to_be_bytes().to_vec();
-    let sum = crc(&out);
+    let sum = crc32c(&out);
     out.extend(sum.to_be_bytes());
     out
 }
@@ -41,7 +41,7 @@
     }
     let slots = bytes[8..].chunks(SLOT).filter_map(|s| {
         let index: [u8; 8] = s[..8].try_into().ok()?;
-        (s[8..] == crc(&index).to_be_bytes()).then_some(u64::from_be_bytes(index))
+        (s[8..] == crc32c(&index).to_be_bytes()).then_some(u64::from_be_bytes(index))
     });
     slots.max()
 }
--- a/crates/counter-service/tests/write_ahead_log.rs
+++ b/crates/counter-service/tests/write_ahead_log.rs
@@ -189,7 +189,7 @@
     let last = named(&disk, ".fgl").pop().expect("a log");
     disk.edit_behind_back(&last, |bytes| {
         bytes[7] = 9;
-        let sum = frostgauge_counter_service::write_ahead_log::format::crc(&bytes[..16]);
+        let sum = frostgauge_counter_service::write_ahead_log::format::crc32c(&bytes[..16]);
         bytes[16..20].copy_from_slice(&sum.to_be_bytes());
     });
     let what = refused(disk.clone()).expect("refused");
@@ -220,7 +220,7 @@
     }
     // A running service's files can be verified.
     let seen = tools::verify(&folder).expect("readable");
-    assert!(seen.faults.is_empty() && seen.recovery.is_ok() && seen.index == 101, "{seen:?}");
+    assert!(seen.faults.is_empty() && seen.recovery.is_ok() && seen.recovered_index == 101, "{seen:?}");
     let mut records = 0;
     tools::dump(&folder, |_| records += 1).expect("whole");
     assert_eq!(records, 101);
--- a/crates/system-test/src/bench_counter.rs
+++ b/crates/system-test/src/bench_counter.rs
@@ -215,7 +215,7 @@
         })
         .collect();
     let mut out = vec![];
-    write_ahead_log::format::put_group(&records, &mut out);
+    write_ahead_log::format::encode_group(&records, &mut out);
     out.len()
 }
 
--- a/crates/system-test/src/roles.rs
+++ b/crates/system-test/src/roles.rs
@@ -155,7 +155,7 @@
         }
         Role::Found { config, rules } => return frostgauge_gateway::daemon::found(config, rules),
         Role::CounterDaemon { config, no_log, stretch_us } => {
-            frostgauge_counter_service::log(true);
+            frostgauge_counter_service::init_logging(true);
             end_with_parent();
             return frostgauge_counter_service::daemon::run(
                 config,
