--- a/crates/counter-service/src/bin/frostgauge-counter.rs
+++ b/crates/counter-service/src/bin/frostgauge-counter.rs
@@ -4,12 +4,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Keeps numbers that all gateways add to, each add counted once. Exit code 0 after SIGTERM, 1 if it stopped
-/// by itself, 2 if it could not start.
+/// Keeps counters that all gateways add to, and counts each add once. Exit code 0 after SIGTERM or SIGINT, 1 if it
+/// stopped because of a failure, 2 if it could not start.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Options {
-    /// The settings, a Jsonnet file.
+    /// The settings file, in Jsonnet.
     #[arg(long)]
     config: PathBuf,
     /// Log as JSON lines.
--- a/crates/counter-service/src/group_commit.rs
+++ b/crates/counter-service/src/group_commit.rs
@@ -1,4 +1,5 @@
-//! The committing thread: takes what waits, as one group, and answers once it is durable.
+//! Group commit: one thread takes queued requests in batches, commits each batch with one sync of the write-ahead log,
+//! and replies once it is durable.
 
 use crate::identity_lease::IdentityLease;
 use crate::write_ahead_log::{write_snapshot, CommitOutcome, FatalError, WriteAheadLog};
@@ -14,109 +15,126 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// With nothing to do for so long, the claim of what is durable is made durable itself.
-const IDLE: Duration = Duration::from_millis(50);
-/// After a snapshot that failed, so much of the log must be written before the next try: a share of the usual.
-const AGAIN: u64 = 4;
+/// When no request has come for this long, the watermark file is synced.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(50);
+/// After a failed snapshot the next attempt follows once `snapshot_bytes` divided by this were written to the log.
+const SNAPSHOT_RETRY_DIVISOR: u64 = 4;
 
-/// What a connection asks.
-pub enum Ask {
-    /// An epoch.
+/// What a connection requests.
+pub enum RequestKind {
+    /// The epoch of a session for the gateway.
     Open {
-        /// The process.
+        /// Identifies the gateway's process.
         incarnation: Nonce,
-        /// Where to tell it; room for one.
-        told: Sender<Result<u64, RejectReason>>,
+        /// Receives the epoch, or why there is none; has a capacity of one.
+        reply: Sender<Result<u64, RejectReason>>,
     },
-    /// An add.
+    /// An add to a counter.
     Add {
-        /// The connection's epoch.
+        /// The epoch of the gateway session.
         epoch: u64,
-        /// Its sequence.
+        /// The sequence of the add within the session.
         seq: u64,
-        /// Sub-units.
+        /// Amount in sub-units.
         amount: i64,
-        /// Life of a new name, milliseconds.
+        /// Time to live of the counter if the add creates it, milliseconds.
         ttl_ms: u32,
-        /// The name.
+        /// The counter's name.
         name: Vec<u8>,
     },
-    /// A read.
+    /// A read of a counter's total.
     Read {
-        /// Told back.
+        /// Chosen by the gateway, and returned in the reply.
         id: u64,
-        /// The name.
+        /// The counter's name.
         name: Vec<u8>,
     },
 }
 
-/// Something that waits.
-pub struct Item {
-    /// Whose.
+/// A request in the admission queue.
+pub struct QueuedRequest {
+    /// The gateway that sent it.
     pub gateway: u16,
-    /// Where answers go.
-    pub out: Sender<Frame>,
-    /// What.
-    pub ask: Ask,
+    /// Frames to send on the connection that it came from.
+    pub replies: Sender<Frame>,
+    /// What is requested.
+    pub kind: RequestKind,
 }
 
+/// Statistics for the status page and the metrics.
 #[derive(Default)]
-struct Seen {
+struct Stats {
     commits: u64,
-    batch: Option<Histogram<u64>>,
-    commit: Option<Histogram<u64>>,
-    delay: Option<Histogram<u64>>,
+    /// Requests per batch.
+    batch_sizes: Option<Histogram<u64>>,
+    /// Durations of commits, microseconds.
+    commit_us: Option<Histogram<u64>>,
+    /// Queue delays, microseconds.
+    delay_us: Option<Histogram<u64>>,
+    /// Adds applied.
     adds: u64,
-    repeats: u64,
-    refused: BTreeMap<&'static str, u64>,
+    /// Adds that an earlier attempt had already applied.
+    duplicates: u64,
+    /// Rejected requests by the label of the reason.
+    rejections: BTreeMap<&'static str, u64>,
+    /// Snapshots written, and snapshots that failed.
     snapshots: (u64, u64),
+    /// Index of the last record.
     index: u64,
-    names: usize,
-    failed: Option<String>,
+    /// Number of counters.
+    counters: usize,
+    /// Why the service stopped, if it did.
+    failure: Option<String>,
 }
 
-/// What connections and the committing thread share. Locks are held for a look, never over a wait.
+/// State shared by the connections and the committing thread. No lock is held while waiting for I/O.
 pub struct Shared {
-    /// Bounds.
+    /// The limits from the settings.
     pub limits: CounterLimits,
-    /// Keys by gateway.
+    /// The keys accepted from each gateway.
     pub keys: BTreeMap<u16, Vec<Key>>,
-    /// Who holds which identity.
-    pub incarnations: Mutex<BTreeMap<u16, IdentityLease>>,
-    /// Closed once nothing waits and nothing more is let in.
-    pub finished: Receiver<()>,
-    queue: Mutex<(AdmissionQueue<Item>, bool)>,
-    bell: Condvar,
-    seen: Mutex<Seen>,
+    /// The process that holds each gateway's number.
+    pub identity_leases: Mutex<BTreeMap<u16, IdentityLease>>,
+    /// Closed once the queue is closed and every request in it has got its reply, or the committing thread has failed.
+    pub drained: Receiver<()>,
+    /// The queue, and whether it is closed to new requests.
+    queue: Mutex<(AdmissionQueue<QueuedRequest>, bool)>,
+    /// Notified when the empty queue gets a request, or the queue is closed.
+    queue_changed: Condvar,
+    stats: Mutex<Stats>,
+    /// The service's clock at `started_at`, microseconds since 1970.
     base: Micros,
-    start: Instant,
+    started_at: Instant,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn record(place: &mut Option<Histogram<u64>>, value: u64) {
-    if place.is_none() {
-        *place = Histogram::new_with_bounds(1, 600_000_000, 2).ok();
+/// Records a value between 1 and 600,000,000 (10 minutes, in microseconds); other values are clamped. Creates the
+/// histogram on first use.
+fn record(slot: &mut Option<Histogram<u64>>, value: u64) {
+    if slot.is_none() {
+        *slot = Histogram::new_with_bounds(1, 600_000_000, 2).ok();
     }
-    if let Some(histogram) = place {
+    if let Some(histogram) = slot {
         histogram.saturating_record(value.max(1));
     }
 }
 
 impl Shared {
-    /// For these bounds and keys; time goes on from `least` (milliseconds since 1970) at least.
+    /// Creates the shared state, with an open and empty queue. The service's clock starts at the system time, but not
+    /// before `min_time_ms` (milliseconds since 1970).
     pub fn new(
         limits: CounterLimits,
         keys: BTreeMap<u16, Vec<Key>>,
-        least: u64,
-        finished: Receiver<()>,
+        min_time_ms: u64,
+        drained: Receiver<()>,
     ) -> Shared {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // From the last record's time on where the system's clock has stepped back, and monotonic from there:
-        // lives of names neither jump nor stand still.
-        let base = (wall.as_micros() as Micros).max(least * 1_000);
+        let system_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        // If the system clock was set back, the service's clock continues from the time of the last record. It is
+        // monotonic from there, so that the time to live of counters neither jumps nor stops running.
+        let base = (system_time.as_micros() as Micros).max(min_time_ms * 1_000);
         let config = AdmissionConfig {
             max_waiting: limits.queue,
             max_waiting_per_gateway: limits.each,
@@ -126,97 +144,105 @@
             queue: Mutex::new((AdmissionQueue::new(config), false)),
             limits,
             keys,
-            incarnations: Mutex::default(),
-            finished,
-            bell: Condvar::new(),
-            seen: Mutex::default(),
+            identity_leases: Mutex::default(),
+            drained,
+            queue_changed: Condvar::new(),
+            stats: Mutex::default(),
             base,
-            start: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
-    /// Microseconds since 1970, never backwards.
+    /// The service's clock, which never runs backwards: microseconds since 1970.
     pub fn now(&self) -> Micros {
-        self.base + self.start.elapsed().as_micros() as Micros
+        self.base + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Milliseconds since 1970, never backwards.
-    pub fn clock_ms(&self) -> u64 {
+    /// The service's clock, which never runs backwards: milliseconds since 1970.
+    pub fn now_ms(&self) -> u64 {
         self.now() / 1_000
     }
 
-    /// How long the queue is at present, microseconds.
-    pub fn delay(&self) -> u32 {
+    /// How long the last request taken out of the queue had waited in it, microseconds.
+    pub fn queue_delay_us(&self) -> u32 {
         u32::try_from(lock(&self.queue).0.delay()).unwrap_or(u32::MAX)
     }
 
-    /// Puts something in its gateway's line.
+    /// Puts a request in the queue. It is rejected if the committing thread does not take it before `deadline`
+    /// (microseconds since 1970).
     ///
     /// # Errors
-    /// There is no room, or the service closes.
-    pub fn offer(&self, gateway: u16, until: Micros, item: Item) -> Result<(), RejectReason> {
+    /// [`RejectReason::ResourceExhausted`] if the queue does not admit it, [`RejectReason::ShuttingDown`] if the queue
+    /// is closed.
+    pub fn enqueue(
+        &self,
+        gateway: u16,
+        deadline: Micros,
+        request: QueuedRequest,
+    ) -> Result<(), RejectReason> {
         let now = self.now();
         let mut queue = lock(&self.queue);
         if queue.1 {
             return Err(RejectReason::ShuttingDown);
         }
-        let idle = queue.0.is_empty();
-        let taken = queue.0.offer(now, gateway, until, item).map_err(|_| RejectReason::ResourceExhausted);
+        let was_empty = queue.0.is_empty();
+        let admitted =
+            queue.0.offer(now, gateway, deadline, request).map_err(|_| RejectReason::ResourceExhausted);
         drop(queue);
-        if idle {
-            self.bell.notify_one();
+        if was_empty {
+            self.queue_changed.notify_one();
         }
-        taken
+        admitted
     }
 
-    /// Notes a refusal.
-    pub fn count_refusal(&self, reason: RejectReason) {
+    /// Counts a rejected request in the metrics and on the status page.
+    pub fn count_rejection(&self, reason: RejectReason) {
         metrics::counter!("frostgauge_counter_refused", "why" => reason.label()).increment(1);
-        *lock(&self.seen).refused.entry(reason.label()).or_default() += 1;
+        *lock(&self.stats).rejections.entry(reason.label()).or_default() += 1;
     }
 
-    /// No more is let in; the committing thread ends when what waits is done.
+    /// Closes the queue to new requests; the committing thread ends once those in the queue are done.
     pub fn close(&self) {
         lock(&self.queue).1 = true;
-        self.bell.notify_one();
+        self.queue_changed.notify_one();
     }
 
-    /// Why the service stopped, if it did.
-    pub fn failed(&self) -> Option<String> {
-        lock(&self.seen).failed.clone()
+    /// Why the committing thread stopped, if it failed.
+    pub fn failure(&self) -> Option<String> {
+        lock(&self.stats).failure.clone()
     }
 
-    /// How it stands.
+    /// Contents of the status page.
     pub fn status(&self) -> Value {
         let (waiting, bound, delay) = {
             let queue = lock(&self.queue);
             (queue.0.len(), queue.0.bound(), queue.0.delay())
         };
-        let gateways: Vec<u16> = lock(&self.incarnations).keys().copied().collect();
-        let seen = lock(&self.seen);
-        let row = |h: &Option<Histogram<u64>>| {
-            let at = |q| h.as_ref().map_or(0, |h| h.value_at_quantile(q));
-            json!({ "p50": at(0.5), "p99": at(0.99), "max": h.as_ref().map_or(0, Histogram::max) })
+        let gateways: Vec<u16> = lock(&self.identity_leases).keys().copied().collect();
+        let stats = lock(&self.stats);
+        let summary = |h: &Option<Histogram<u64>>| {
+            let quantile = |q| h.as_ref().map_or(0, |h| h.value_at_quantile(q));
+            json!({ "p50": quantile(0.5), "p99": quantile(0.99), "max": h.as_ref().map_or(0, Histogram::max) })
         };
         json!({
             "pid": std::process::id(),
-            "index": seen.index,
-            "names": seen.names,
+            "index": stats.index,
+            "names": stats.counters,
             "gateways": gateways,
-            "queue": { "waiting": waiting, "bound": bound, "delay_us": delay, "delays_us": row(&seen.delay) },
-            "commits": seen.commits,
-            "commit_us": row(&seen.commit),
-            "batch": row(&seen.batch),
-            "adds": seen.adds,
-            "repeats": seen.repeats,
-            "refused": seen.refused,
-            "snapshots": { "taken": seen.snapshots.0, "failed": seen.snapshots.1 },
-            "failed": seen.failed,
+            "queue": { "waiting": waiting, "bound": bound, "delay_us": delay, "delays_us": summary(&stats.delay_us) },
+            "commits": stats.commits,
+            "commit_us": summary(&stats.commit_us),
+            "batch": summary(&stats.batch_sizes),
+            "adds": stats.adds,
+            "repeats": stats.duplicates,
+            "refused": stats.rejections,
+            "snapshots": { "taken": stats.snapshots.0, "failed": stats.snapshots.1 },
+            "failed": stats.failure,
         })
     }
 
-    /// Publishes what [`Shared::status`] tells.
-    pub fn publish(&self) {
+    /// Sets the gauges of the metrics page from [`Shared::status`].
+    pub fn publish_metrics(&self) {
         let status = self.status();
         for (name, path) in [
             ("waiting", "/queue/waiting"),
@@ -236,168 +262,180 @@
     }
 }
 
-/// The committing thread's work, until the queue is closed and empty, or it must stop. `folder`: where
-/// snapshots are written, in a thread of their own; none: they are not.
+/// Runs the committing thread until the queue is closed and empty, or a commit fails. Snapshots are written to
+/// `folder`, each in a thread of its own; without a folder there are no snapshots. `drained` is dropped at the end of
+/// the last commit.
 pub fn run<S: Storage>(
     shared: &Arc<Shared>,
     mut wal: WriteAheadLog<S>,
     folder: Option<PathBuf>,
-    finished: Sender<()>,
+    drained: Sender<()>,
 ) {
-    let ended = work(shared, &mut wal, folder, finished);
-    if let Err(FatalError(reason)) = ended {
-        tracing::error!(reason, "the service stops: what it has told is durable, what waits is not answered");
-        lock(&shared.seen).failed = Some(reason);
+    let result = commit_until_closed(shared, &mut wal, folder, drained);
+    if let Err(FatalError(reason)) = result {
+        tracing::error!(
+            reason,
+            "fatal error; the service stops. Acknowledged requests are durable, queued requests get no reply"
+        );
+        lock(&shared.stats).failure = Some(reason);
         shared.close();
     }
 }
 
-fn work<S: Storage>(
+fn commit_until_closed<S: Storage>(
     shared: &Arc<Shared>,
     wal: &mut WriteAheadLog<S>,
     folder: Option<PathBuf>,
-    finished: Sender<()>,
+    drained: Sender<()>,
 ) -> Result<(), FatalError> {
     let limits = shared.limits.clone();
-    let (mut taken, mut late) = (vec![], vec![]);
-    let (completed, written) = async_channel::bounded::<Result<u64, String>>(1);
-    let (mut due, mut writing) = (limits.snapshot_bytes, false);
+    let (mut batch, mut expired) = (vec![], vec![]);
+    let (snapshot_done, snapshot_results) = async_channel::bounded::<Result<u64, String>>(1);
+    let (mut next_snapshot_at_bytes, mut snapshot_in_progress) = (limits.snapshot_bytes, false);
     loop {
         let delay = {
             let mut queue = lock(&shared.queue);
             if queue.0.is_empty() && !queue.1 {
-                queue = shared.bell.wait_timeout(queue, IDLE).map_or_else(|e| e.into_inner().0, |(q, _)| q);
+                queue = shared
+                    .queue_changed
+                    .wait_timeout(queue, IDLE_TIMEOUT)
+                    .map_or_else(|e| e.into_inner().0, |(q, _)| q);
             }
-            queue.0.take(shared.now(), limits.batch, &mut taken, &mut late);
-            if taken.is_empty() && late.is_empty() && queue.1 {
+            queue.0.take(shared.now(), limits.batch, &mut batch, &mut expired);
+            if batch.is_empty() && expired.is_empty() && queue.1 {
                 break;
             }
             queue.0.delay()
         };
-        for item in late.drain(..) {
-            shared.count_refusal(RejectReason::DeadlineExceeded);
-            if let Ask::Add { seq, .. } = item.ask {
-                let _ = item.out.try_send(Frame::Rejected {
+        for request in expired.drain(..) {
+            shared.count_rejection(RejectReason::DeadlineExceeded);
+            if let RequestKind::Add { seq, .. } = request.kind {
+                let _ = request.replies.try_send(Frame::Rejected {
                     id: seq,
                     reason: RejectReason::DeadlineExceeded,
                     queue_delay_us: delay as u32,
                 });
             }
         }
-        if taken.is_empty() {
+        if batch.is_empty() {
             wal.sync_watermark()?;
         } else {
-            batch(shared, wal, &mut taken, delay)?;
+            commit_batch(shared, wal, &mut batch, delay)?;
         }
-        if let Ok(ended) = written.try_recv() {
-            writing = false;
-            match ended {
+        if let Ok(result) = snapshot_results.try_recv() {
+            snapshot_in_progress = false;
+            match result {
                 Ok(index) => {
-                    lock(&shared.seen).snapshots.0 += 1;
+                    lock(&shared.stats).snapshots.0 += 1;
                     if let Err(error) = wal.prune(index) {
-                        tracing::warn!(%error, "files behind the snapshot could not be removed");
+                        tracing::warn!(%error, "cannot remove an old snapshot or log segment; the next start removes it");
                     }
                 }
                 Err(reason) => {
-                    lock(&shared.seen).snapshots.1 += 1;
-                    tracing::error!(reason, "no snapshot; the log goes on growing until one succeeds");
-                    due = wal.bytes_written() + limits.snapshot_bytes / AGAIN;
+                    lock(&shared.stats).snapshots.1 += 1;
+                    tracing::error!(reason, "snapshot failed; the log keeps growing until one succeeds");
+                    next_snapshot_at_bytes =
+                        wal.bytes_written() + limits.snapshot_bytes / SNAPSHOT_RETRY_DIVISOR;
                 }
             }
         }
-        if let Some(folder) = folder.as_ref().filter(|_| wal.bytes_written() >= due && !writing) {
-            writing = true;
-            due = wal.bytes_written() + limits.snapshot_bytes;
-            let (snapshot, folder, completed) = (wal.begin_snapshot(), folder.clone(), completed.clone());
-            let work = move || {
-                let ended = write_snapshot(&mut Disk::open_read_only(&folder), &snapshot);
-                let _ = completed.try_send(ended.map(|()| snapshot.index).map_err(|e| e.to_string()));
+        let snapshot_due = wal.bytes_written() >= next_snapshot_at_bytes && !snapshot_in_progress;
+        if let Some(folder) = folder.as_ref().filter(|_| snapshot_due) {
+            snapshot_in_progress = true;
+            next_snapshot_at_bytes = wal.bytes_written() + limits.snapshot_bytes;
+            let (snapshot, folder, snapshot_done) =
+                (wal.begin_snapshot(), folder.clone(), snapshot_done.clone());
+            let write = move || {
+                let result = write_snapshot(&mut Disk::open_read_only(&folder), &snapshot);
+                let _ = snapshot_done.try_send(result.map(|()| snapshot.index).map_err(|e| e.to_string()));
             };
-            if std::thread::Builder::new().name("snapshot".into()).spawn(work).is_err() {
-                writing = false;
+            if std::thread::Builder::new().name("snapshot".into()).spawn(write).is_err() {
+                snapshot_in_progress = false;
             }
         }
     }
-    drop(finished);
-    // One at work now would write beside the last one.
-    if writing {
-        let _ = written.recv_blocking();
+    drop(drained);
+    // Two snapshots must not be written at the same time: waits for the one in progress before taking the last.
+    if snapshot_in_progress {
+        let _ = snapshot_results.recv_blocking();
     }
     wal.sync_watermark()?;
     if folder.is_some() {
         if let Err(error) = wal.snapshot() {
-            tracing::warn!(%error, "no last snapshot; the next start replays the log");
+            tracing::warn!(%error, "cannot take the snapshot at shutdown; the next start replays more of the log");
         }
     }
     Ok(())
 }
 
-/// Commits what was taken, and answers it.
-fn batch<S: Storage>(
+/// Commits the requests of a batch and replies to each. `delay` is the present queue delay, microseconds.
+fn commit_batch<S: Storage>(
     shared: &Shared,
     wal: &mut WriteAheadLog<S>,
-    taken: &mut Vec<Item>,
+    batch: &mut Vec<QueuedRequest>,
     delay: Micros,
 ) -> Result<(), FatalError> {
-    let began = Instant::now();
-    let operations = taken.iter().filter_map(|item| match &item.ask {
-        Ask::Open { incarnation, .. } => {
-            Some(Operation::Open { gateway: item.gateway, incarnation: *incarnation })
+    let started_at = Instant::now();
+    let operations = batch.iter().filter_map(|request| match &request.kind {
+        RequestKind::Open { incarnation, .. } => {
+            Some(Operation::Open { gateway: request.gateway, incarnation: *incarnation })
         }
-        Ask::Add { epoch, seq, amount, ttl_ms, name } => Some(Operation::Add {
-            gateway: item.gateway,
+        RequestKind::Add { epoch, seq, amount, ttl_ms, name } => Some(Operation::Add {
+            gateway: request.gateway,
             epoch: *epoch,
             seq: *seq,
             amount: *amount,
             ttl_ms: *ttl_ms,
             name: name.clone(),
         }),
-        Ask::Read { .. } => None,
+        RequestKind::Read { .. } => None,
     });
-    let time_ms = shared.clock_ms();
+    let time_ms = shared.now_ms();
     let mut outcomes = wal.commit(time_ms, operations.collect())?.into_iter();
-    let elapsed = began.elapsed().as_micros() as u64;
+    let commit_us = started_at.elapsed().as_micros() as u64;
     let queue_delay_us = u32::try_from(delay).unwrap_or(u32::MAX);
-    let (mut adds, mut repeats, n) = (0, 0, taken.len() as u64);
-    for item in taken.drain(..) {
-        let (id, open) = match item.ask {
-            Ask::Read { id, name } => {
+    let (mut adds, mut duplicates, batch_size) = (0, 0, batch.len() as u64);
+    for request in batch.drain(..) {
+        let (id, open_reply) = match request.kind {
+            RequestKind::Read { id, name } => {
                 let total = wal.machine().read(time_ms, &name);
-                let _ = item.out.try_send(Frame::Total { id, total, queue_delay_us });
+                let _ = request.replies.try_send(Frame::Total { id, total, queue_delay_us });
                 continue;
             }
-            Ask::Add { seq, .. } => (seq, None),
-            Ask::Open { told, .. } => (0, Some(told)),
+            RequestKind::Add { seq, .. } => (seq, None),
+            RequestKind::Open { reply, .. } => (0, Some(reply)),
         };
-        let Some(outcomes) = outcomes.next() else { continue };
-        if let Some(told) = open {
-            let _ = told.try_send(match outcomes {
+        let Some(outcome) = outcomes.next() else { continue };
+        if let Some(reply) = open_reply {
+            let _ = reply.try_send(match outcome {
                 CommitOutcome::Applied(epoch) | CommitOutcome::Duplicate(epoch) => Ok(epoch as u64),
                 CommitOutcome::Rejected(reason) => Err(reason),
             });
             continue;
         }
-        adds += u64::from(matches!(outcomes, CommitOutcome::Applied(_)));
-        repeats += u64::from(matches!(outcomes, CommitOutcome::Duplicate(_)));
-        let frame = match outcomes {
+        adds += u64::from(matches!(outcome, CommitOutcome::Applied(_)));
+        duplicates += u64::from(matches!(outcome, CommitOutcome::Duplicate(_)));
+        let frame = match outcome {
             CommitOutcome::Applied(total) | CommitOutcome::Duplicate(total) => {
                 Frame::Total { id, total, queue_delay_us }
             }
             CommitOutcome::Rejected(reason) => {
-                shared.count_refusal(reason);
+                shared.count_rejection(reason);
                 Frame::Rejected { id, reason, queue_delay_us }
             }
         };
-        // A connection that does not take its answers is closed; its gateway repeats on another.
-        if item.out.try_send(frame).is_err() {
-            item.out.close();
+        // If the gateway does not read its replies and the buffer is full, its connection is closed. The gateway
+        // retries on a new one.
+        if request.replies.try_send(frame).is_err() {
+            request.replies.close();
         }
     }
-    let mut seen = lock(&shared.seen);
-    (seen.adds, seen.repeats, seen.commits) = (seen.adds + adds, seen.repeats + repeats, seen.commits + 1);
-    (seen.index, seen.names) = (wal.machine().index(), wal.machine().len());
-    record(&mut seen.batch, n);
-    record(&mut seen.commit, elapsed);
-    record(&mut seen.delay, delay);
+    let mut stats = lock(&shared.stats);
+    (stats.adds, stats.duplicates, stats.commits) =
+        (stats.adds + adds, stats.duplicates + duplicates, stats.commits + 1);
+    (stats.index, stats.counters) = (wal.machine().index(), wal.machine().len());
+    record(&mut stats.batch_sizes, batch_size);
+    record(&mut stats.commit_us, commit_us);
+    record(&mut stats.delay_us, delay);
     Ok(())
 }
--- a/crates/counter-service/src/lib.rs
+++ b/crates/counter-service/src/lib.rs
@@ -1,7 +1,8 @@
-//! The counter service: counters by name that all gateways add to, each add counted once.
+//! The counter service: named counters that all gateways add to. An add is counted exactly once, also if it is retried.
 //!
-//! `frostgauge-counter-core` decides; this package makes the decisions durable ([`write_ahead_log`], in groups of
-//! one sync each), serves them on sockets ([`daemon`]), and holds a gateway's connection ([`client`]).
+//! `frostgauge-counter-core` holds the logic without I/O. This package makes the state durable ([`write_ahead_log`], one
+//! sync for each group of requests), serves gateways over TCP ([`daemon`]), and contains the client that runs in a
+//! gateway ([`client`]).
 
 pub mod client;
 pub mod daemon;
@@ -11,11 +12,12 @@
 mod volatile_storage;
 pub mod write_ahead_log;
 
-/// Sets up logging to standard error: text for people, or JSON lines. `FROSTGAUGE_LOG` filters it.
+/// Sets up logging to standard error, as text or as JSON lines. The filter is taken from the environment variable
+/// `FROSTGAUGE_LOG`, and is `info` without it.
 pub fn init_logging(json: bool) {
     let filter = tracing_subscriber::EnvFilter::try_from_env("FROSTGAUGE_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    // A second call, as in tests, changes nothing.
+    // Fails if a logger is already set up, as in tests; that one is kept.
     let _ = if json { builder.json().flatten_event(true).try_init() } else { builder.try_init() };
 }
--- a/crates/counter-service/src/volatile_storage.rs
+++ b/crates/counter-service/src/volatile_storage.rs
@@ -1,10 +1,10 @@
-//! Files that are kept in memory and never made durable: what the service costs without its log.
+//! A storage that drops all data, for measuring what the service costs without its log.
 
 use frostgauge_storage::Storage;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-/// Files of which the names alone are kept.
+/// Keeps the names of files in memory, and discards their contents.
 #[derive(Debug, Default)]
 pub struct VolatileStorage(BTreeMap<String, ()>);
 
@@ -49,6 +49,6 @@
     }
 
     fn location(&self) -> String {
-        "memory alone".into()
+        "volatile storage".into()
     }
 }
