--- a/crates/counter-service/src/client.rs
+++ b/crates/counter-service/src/client.rs
@@ -1,4 +1,5 @@
-//! A gateway's connection to the counter: `frostgauge-counter-core`'s [`ClientCalls`] decide, this carries it out.
+//! The client in a gateway: holds the connection to the counter service. [`ClientCalls`] of `frostgauge-counter-core`
+//! decides what to do; this module does the I/O.
 
 use async_channel::{Receiver, Sender};
 use async_executor::{Executor, Task};
@@ -14,58 +15,61 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Calls that may wait for this task's turn.
-const INBOX: usize = 4_096;
-/// Calls taken before they are written as one.
-const BATCH: usize = 256;
-/// A connection must stand, and this gateway be let in, within this.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A connection with nothing to say says so: well under the service's lease.
-const PING: Duration = Duration::from_secs(1);
+/// Calls that may wait for the client's task.
+const CALL_QUEUE_LEN: usize = 4_096;
+/// Calls taken from the queue at once; their frames are written together.
+const MAX_CALLS_PER_WRITE: usize = 256;
+/// A connection must be established, and the gateway session opened, within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection on which nothing was written for this long sends a ping. Well under the service's lease, which pings
+/// renew.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where the counter is, and who calls.
+/// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its address.
+    /// Address of the counter service.
     pub address: SocketAddr,
-    /// The key that both sides hold.
+    /// The key shared by this gateway and the service.
     pub key: Key,
     /// This gateway's number.
     pub gateway: u16,
-    /// Connections go out from this address; none: the system chooses.
+    /// Local address of the connections; chosen by the system if there is none.
     pub source: Option<IpAddr>,
-    /// Time limits.
+    /// Time limits of calls.
     pub calls: ClientCallsConfig,
 }
 
-/// What a call came to.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallResult {
-    /// The number's name.
+    /// The counter's name.
     pub counter: u64,
-    /// The total in units, or none.
+    /// The total in units if the amount was added; `None` if the call was rejected or its outcome is unknown.
     pub total: Option<f64>,
-    /// It may have been added.
+    /// Without a total: whether the amount may have been added all the same.
     pub unsure: bool,
     /// Time since the call, microseconds.
     pub elapsed: Micros,
-    /// For a record of what was details.
+    /// What identifies the call in the service's log, for audits.
     pub details: CallDetails,
 }
 
-/// Takes answers, one at a time; false once nobody wants them.
+/// Is called with each result, one after the other. It returns false if no more results are wanted; the client's task
+/// then ends.
 pub type ResultHandler = Box<dyn Fn(CallResult) -> Pin<Box<dyn Future<Output = bool> + Send>> + Send + Sync>;
 
-/// The calling side.
+/// Handle of a running client; clones use the same connection.
 #[derive(Clone, Debug)]
 pub struct Client {
+    /// Counter, amount in units, and time to live of each call.
     calls: Sender<(u64, f64, Micros)>,
-    seen: Arc<Mutex<Seen>>,
+    status: Arc<Mutex<ClientStatus>>,
 }
 
-/// How the calls stand, as last seen.
+/// State of the client's task for the status page; updated after each event.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct ClientStatus {
     connected: bool,
     epoch: u64,
     in_flight: usize,
@@ -73,44 +77,48 @@
 }
 
 impl Client {
-    /// Starts the task that holds the connection.
-    pub fn start(executor: &Arc<Executor<'static>>, config: Config, deliver: ResultHandler) -> Client {
-        let (calls, inbox) = async_channel::bounded(INBOX);
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let task = Driver {
+    /// Spawns the task that holds the connection. `on_result` gets the result of each call that
+    /// [`Client::call`] accepted.
+    pub fn start(executor: &Arc<Executor<'static>>, config: Config, on_result: ResultHandler) -> Client {
+        let (calls, call_queue) = async_channel::bounded(CALL_QUEUE_LEN);
+        let status = Arc::new(Mutex::new(ClientStatus::default()));
+        let task = ClientTask {
             calls: ClientCalls::new(config.calls, rand::random()),
-            pool: Pool::new(1, PING).from(config.source),
+            pool: Pool::new(1, PING_INTERVAL).from(config.source),
             incarnation: rand::random(),
-            link: Link::Down,
-            began: Instant::now(),
-            inbox,
+            connection: Connection::Down,
+            started_at: Instant::now(),
+            call_queue,
             executor: executor.clone(),
-            deliver,
-            seen: seen.clone(),
+            on_result,
+            status: status.clone(),
             config,
         };
         executor.spawn(task.run()).detach();
-        Client { calls, seen }
+        Client { calls, status }
     }
 
-    /// Adds units to a number; false if there is no room for the call: it is certainly not added.
+    /// Queues an add of `amount` units to a counter, which expires after `ttl` microseconds if the add creates it.
+    /// Returns false if the queue is full or the task has ended: the amount is not added then, and there is no result.
     pub fn call(&self, counter: u64, amount: f64, ttl: Micros) -> bool {
         self.calls.try_send((counter, amount, ttl)).is_ok()
     }
 
-    /// How it stands.
+    /// State of the connection and counts of calls, for the status page.
     pub fn status(&self) -> Value {
-        let Ok(Seen { connected, epoch, in_flight, stats: t }) = self.seen.lock().map(|seen| *seen) else {
+        let Ok(ClientStatus { connected, epoch, in_flight, stats }) =
+            self.status.lock().map(|status| *status)
+        else {
             return Value::Null;
         };
         json!({
-            "up": connected, "epoch": epoch, "out": in_flight, "calls": t.calls, "totals": t.totals, "refused": t.rejected,
-            "unsure": t.unsure, "repeats": t.retries, "opened": t.connections,
+            "up": connected, "epoch": epoch, "out": in_flight, "calls": stats.calls, "totals": stats.totals,
+            "refused": stats.rejected, "unsure": stats.unsure, "repeats": stats.retries, "opened": stats.connections,
         })
     }
 }
 
-/// A connection on which this gateway is let in.
+/// A connection with an open gateway session.
 #[derive(Debug)]
 pub struct Session {
     stream: Async<TcpStream>,
@@ -118,57 +126,65 @@
     decoder: FrameDecoder,
     buf: Vec<u8>,
     epoch: u64,
-    written: Instant,
+    last_write_at: Instant,
 }
 
 impl Session {
-    /// Sends a frame and waits for the next one: one call at a time, for measures.
+    /// Sends a frame and waits for the next one. For benchmarks, with one request in flight.
     ///
     /// # Errors
-    /// The connection ended, or brought what is not authentic.
+    /// `Err(false)`: the connection failed or ended. `Err(true)`: a frame received is invalid or not authentic.
     pub async fn request(&mut self, frame: &Frame) -> Result<Frame, bool> {
         let mut bytes = vec![];
         self.encoder.encode(frame, &mut bytes);
         (&self.stream).write_all(&bytes).await.map_err(|_| false)?;
-        next(&self.stream, &mut self.decoder, &mut self.buf).await
+        receive_frame(&self.stream, &mut self.decoder, &mut self.buf).await
     }
 }
 
-enum Link {
+enum Connection {
     Down,
+    /// The result as in [`connect`].
     Opening(Task<Result<Session, bool>>),
     Up(Box<Session>),
 }
 
 enum Event {
+    /// A call to send; `None` if all handles of the client are dropped.
     Call(Option<(u64, f64, Micros)>),
-    Opened(Result<Session, bool>),
-    Read(bool),
-    Wake,
+    /// The attempt to connect has ended, with a result as in [`connect`].
+    ConnectEnded(Result<Session, bool>),
+    /// Whether bytes were received; false if the connection ended.
+    Received(bool),
+    /// A timer of the calls, or the next ping, is due.
+    Timer,
 }
 
-struct Driver {
+struct ClientTask {
     calls: ClientCalls,
     pool: Pool,
+    /// Identifies this process to the service.
     incarnation: Nonce,
-    link: Link,
-    began: Instant,
-    inbox: Receiver<(u64, f64, Micros)>,
+    connection: Connection,
+    /// Zero of the clock that `calls` uses.
+    started_at: Instant,
+    call_queue: Receiver<(u64, f64, Micros)>,
     executor: Arc<Executor<'static>>,
-    deliver: ResultHandler,
-    seen: Arc<Mutex<Seen>>,
+    on_result: ResultHandler,
+    status: Arc<Mutex<ClientStatus>>,
     config: Config,
 }
 
-/// Connects and is let in.
+/// Connects to the service, authenticates, and opens a gateway session.
 ///
 /// # Errors
-/// It is not; `true`: trying again soon is of no use.
+/// `Err(true)` if the service rejected the gateway's identity, or a frame was invalid or not authentic: trying again
+/// soon does not help. `Err(false)` for other failures.
 pub async fn connect(pool: Pool, config: Config, incarnation: Nonce) -> Result<Session, bool> {
     let stream = pool.connect(config.address).await.map_err(|_| false)?;
     let _ = stream.get_ref().set_nodelay(true);
     let (mut buf, mut decoder) = (vec![], FrameDecoder::new(None));
-    let challenge = match next(&stream, &mut decoder, &mut buf).await? {
+    let challenge = match receive_frame(&stream, &mut decoder, &mut buf).await? {
         Frame::Challenge { nonce } => nonce,
         _ => return Err(false),
     };
@@ -178,20 +194,28 @@
     (&stream).write_all(&bytes).await.map_err(|_| false)?;
     let encoder = FrameEncoder::new(Some(config.key.gateway_key(&challenge, &nonce, gateway)));
     let mut decoder = FrameDecoder::new(Some(config.key.service_key(&challenge, &nonce, gateway)));
-    match next(&stream, &mut decoder, &mut buf).await? {
+    match receive_frame(&stream, &mut decoder, &mut buf).await? {
         Frame::Opened { epoch, .. } => {
-            Ok(Session { stream, encoder, decoder, buf, epoch, written: Instant::now() })
+            Ok(Session { stream, encoder, decoder, buf, epoch, last_write_at: Instant::now() })
         }
         Frame::Bye { reason } => {
-            let far = matches!(reason, RejectReason::IdentityInUse | RejectReason::Fenced);
-            tracing::error!(why = reason.label(), gateway, "the counter does not let this gateway in");
-            Err(far)
+            let identity_rejected = matches!(reason, RejectReason::IdentityInUse | RejectReason::Fenced);
+            tracing::error!(
+                why = reason.label(),
+                gateway,
+                "the counter service rejected this gateway's session; trying again after a backoff"
+            );
+            Err(identity_rejected)
         }
         _ => Err(false),
     }
 }
 
-async fn next(
+/// Returns the next frame of the connection.
+///
+/// # Errors
+/// `Err(false)`: the connection failed or ended. `Err(true)`: the frame is invalid or not authentic.
+async fn receive_frame(
     mut stream: &Async<TcpStream>,
     decoder: &mut FrameDecoder,
     buf: &mut Vec<u8>,
@@ -204,10 +228,12 @@
             }
             Ok(None) => {}
             Err(reason) => {
-                // Also what it says to a key that it does not know: a word without a MAC.
+                // A service that does not know this gateway's key replies with a Bye frame without a MAC, so a wrong
+                // key ends here as well.
                 tracing::error!(
                     why = reason.label(),
-                    "the counter's word is not authentic: is the key right?"
+                    "received an invalid or unauthenticated frame from the counter service; check that both sides have \
+                     the same key"
                 );
                 return Err(true);
             }
@@ -218,142 +244,153 @@
     }
 }
 
-impl Driver {
+impl ClientTask {
+    /// Microseconds since the task was created.
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    async fn event(&mut self) -> Event {
-        let wake = self.calls.next_wake().map(|at| self.began + Duration::from_micros(at));
-        let ping = match &self.link {
-            Link::Up(open) => Some(open.written + PING),
+    async fn next_event(&mut self) -> Event {
+        let calls_wake = self.calls.next_wake().map(|at| self.started_at + Duration::from_micros(at));
+        let next_ping = match &self.connection {
+            Connection::Up(session) => Some(session.last_write_at + PING_INTERVAL),
             _ => None,
         };
-        let wake = wake.into_iter().chain(ping).min();
-        let (link, inbox) = (&mut self.link, &self.inbox);
-        let link = async {
-            match link {
-                Link::Down => future::pending().await,
-                Link::Opening(task) => Event::Opened(task.await),
-                Link::Up(open) => {
-                    let read = read_some(&mut &open.stream, &mut open.buf).await;
-                    Event::Read(matches!(read, Ok(n) if n > 0))
+        let wake = calls_wake.into_iter().chain(next_ping).min();
+        let (connection, call_queue) = (&mut self.connection, &self.call_queue);
+        let connection_event = async {
+            match connection {
+                Connection::Down => future::pending().await,
+                Connection::Opening(task) => Event::ConnectEnded(task.await),
+                Connection::Up(session) => {
+                    let read = read_some(&mut &session.stream, &mut session.buf).await;
+                    Event::Received(matches!(read, Ok(n) if n > 0))
                 }
             }
         };
-        let call = async { Event::Call(inbox.recv().await.ok()) };
+        let call = async { Event::Call(call_queue.recv().await.ok()) };
         let timer = async {
             match wake {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Event::Wake
+            Event::Timer
         };
-        // What came back goes first: it frees places for what is to be sent.
-        future::or(link, future::or(call, timer)).await
+        // Replies are handled first: they free capacity for new calls.
+        future::or(connection_event, future::or(call, timer)).await
     }
 
+    /// Runs until all handles of the client are dropped, or the result handler returns false.
     async fn run(mut self) {
-        let mut out = vec![];
+        let mut actions = vec![];
         loop {
-            let event = self.event().await;
+            let event = self.next_event().await;
             let now = self.now();
             match event {
                 Event::Call(None) => return,
                 Event::Call(Some(first)) => {
-                    let rest = std::iter::from_fn(|| self.inbox.try_recv().ok()).take(BATCH);
+                    let rest =
+                        std::iter::from_fn(|| self.call_queue.try_recv().ok()).take(MAX_CALLS_PER_WRITE);
                     for (counter, amount, ttl) in std::iter::once(first).chain(rest) {
-                        self.calls.call(now, counter, amount, ttl, &mut out);
+                        self.calls.call(now, counter, amount, ttl, &mut actions);
                     }
                 }
-                Event::Opened(Ok(open)) => {
-                    let epoch = open.epoch;
-                    self.link = Link::Up(Box::new(open));
-                    tracing::info!(epoch, "the counter lets this gateway in");
-                    self.calls.session_opened(now, epoch, &mut out);
+                Event::ConnectEnded(Ok(session)) => {
+                    let epoch = session.epoch;
+                    self.connection = Connection::Up(Box::new(session));
+                    tracing::info!(epoch, "session with the counter service opened");
+                    self.calls.session_opened(now, epoch, &mut actions);
+                }
+                Event::ConnectEnded(Err(identity_rejected)) => {
+                    self.connection = Connection::Down;
+                    self.calls.connection_lost(now, identity_rejected);
                 }
-                Event::Opened(Err(far)) => {
-                    self.link = Link::Down;
-                    self.calls.connection_lost(now, far);
+                Event::Received(true) => self.handle_frames(now, &mut actions),
+                Event::Received(false) => {
+                    self.connection_lost(now, "the counter service closed the connection, or it failed");
                 }
-                Event::Read(true) => self.read(now, &mut out),
-                Event::Read(false) => self.lost(now, "the connection to the counter ended"),
-                Event::Wake => {}
+                Event::Timer => {}
             }
-            self.calls.advance(now, &mut out);
-            if !self.carry_out(now, &mut out).await {
+            self.calls.advance(now, &mut actions);
+            if !self.perform(now, &mut actions).await {
                 return;
             }
-            if let Ok(mut seen) = self.seen.lock() {
-                let c = &self.calls;
-                *seen = Seen {
-                    connected: c.is_connected(),
-                    epoch: c.epoch(),
-                    in_flight: c.in_flight(),
-                    stats: c.stats(),
+            if let Ok(mut status) = self.status.lock() {
+                let calls = &self.calls;
+                *status = ClientStatus {
+                    connected: calls.is_connected(),
+                    epoch: calls.epoch(),
+                    in_flight: calls.in_flight(),
+                    stats: calls.stats(),
                 };
             }
         }
     }
 
-    fn lost(&mut self, now: Micros, why: &'static str) {
-        tracing::warn!(why, "the counter is lost");
-        self.link = Link::Down;
+    fn connection_lost(&mut self, now: Micros, why: &'static str) {
+        tracing::warn!(why, "connection to the counter service lost; reconnecting after a backoff");
+        self.connection = Connection::Down;
         self.calls.connection_lost(now, false);
     }
 
-    fn read(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Link::Up(open) = &mut self.link else { return };
-        let mut from = 0;
-        let bad = loop {
-            match open.decoder.decode(&open.buf[from..]) {
+    /// Handles all complete frames in the session's buffer. Drops the connection on an invalid or unexpected one.
+    fn handle_frames(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let Connection::Up(session) = &mut self.connection else { return };
+        let mut decoded = 0;
+        let error = loop {
+            match session.decoder.decode(&session.buf[decoded..]) {
                 Ok(Some((frame, n))) => {
-                    from += n;
+                    decoded += n;
                     match frame {
-                        Frame::Total { id, total, .. } => self.calls.total_received(now, id, total, out),
+                        Frame::Total { id, total, .. } => self.calls.total_received(now, id, total, actions),
                         Frame::Rejected { id, reason, .. } => {
                             metrics::counter!("frostgauge_counter_refusals", "why" => reason.label())
                                 .increment(1);
-                            self.calls.rejection_received(now, id, reason, out);
+                            self.calls.rejection_received(now, id, reason, actions);
                         }
                         Frame::Pong { .. } => self.calls.frame_received(),
                         Frame::Bye { reason } => break Some(reason.label()),
-                        _ => break Some("a frame of no use here"),
+                        _ => {
+                            break Some("received a frame of a kind that is not expected in an open session")
+                        }
                     }
                 }
                 Ok(None) => break None,
                 Err(reason) => break Some(reason.label()),
             }
         };
-        open.buf.drain(..from);
-        if let Some(why) = bad {
-            self.lost(now, why);
+        session.buf.drain(..decoded);
+        if let Some(why) = error {
+            self.connection_lost(now, why);
         }
     }
 
-    /// Carries out what was decided; false once nobody wants answers.
-    async fn carry_out(&mut self, now: Micros, out: &mut Vec<Action>) -> bool {
+    /// Performs the actions that [`ClientCalls`] decided on, and sends a ping if one is due. Returns false if no more
+    /// results are wanted.
+    async fn perform(&mut self, now: Micros, actions: &mut Vec<Action>) -> bool {
         let mut bytes = vec![];
-        for d in out.drain(..) {
-            match d {
+        for action in actions.drain(..) {
+            match action {
                 Action::Connect => {
-                    let work = connect(self.pool.another(), self.config.clone(), self.incarnation);
-                    self.link = Link::Opening(self.executor.spawn(async move {
-                        match until(Instant::now() + CONNECT, work).await {
-                            Timed::Done(opened) => opened,
+                    let connecting = connect(self.pool.another(), self.config.clone(), self.incarnation);
+                    self.connection = Connection::Opening(self.executor.spawn(async move {
+                        match until(Instant::now() + CONNECT_TIMEOUT, connecting).await {
+                            Timed::Done(result) => result,
                             Timed::Late => Err(false),
                         }
                     }));
                 }
                 Action::Disconnect => {
-                    tracing::warn!("the counter says nothing: the connection is closed");
-                    self.link = Link::Down;
+                    tracing::warn!(
+                        "no frame from the counter service although a reply is overdue; closing the connection"
+                    );
+                    self.connection = Connection::Down;
                 }
                 Action::SendAdd { seq, counter, amount, ttl_ms, remaining } => {
-                    let Link::Up(open) = &mut self.link else { continue };
+                    let Connection::Up(session) = &mut self.connection else { continue };
                     let timeout_us = u32::try_from(remaining).unwrap_or(u32::MAX);
                     let name = format!("{counter:016x}").into_bytes();
-                    open.encoder.encode(&Frame::Add { seq, amount, ttl_ms, timeout_us, name }, &mut bytes);
+                    session.encoder.encode(&Frame::Add { seq, amount, ttl_ms, timeout_us, name }, &mut bytes);
                 }
                 Action::Complete { counter, total, unsure, elapsed, details } => {
                     tracing::debug!(
@@ -361,23 +398,23 @@
                         seq = details.seq, amount = details.amount, sends = details.attempts, unsure, refused = total.is_none(),
                         total = total.unwrap_or(0.0), took_us = elapsed, "answer"
                     );
-                    let answered = CallResult { counter, total, unsure, elapsed, details };
-                    if !(self.deliver)(answered).await {
+                    let result = CallResult { counter, total, unsure, elapsed, details };
+                    if !(self.on_result)(result).await {
                         return false;
                     }
                 }
             }
         }
-        let limit = Instant::now() + Duration::from_micros(self.config.calls.timeout);
-        let Link::Up(open) = &mut self.link else { return true };
-        if bytes.is_empty() && open.written.elapsed() >= PING {
-            open.encoder.encode(&Frame::Ping { id: now }, &mut bytes);
+        let write_deadline = Instant::now() + Duration::from_micros(self.config.calls.timeout);
+        let Connection::Up(session) = &mut self.connection else { return true };
+        if bytes.is_empty() && session.last_write_at.elapsed() >= PING_INTERVAL {
+            session.encoder.encode(&Frame::Ping { id: now }, &mut bytes);
         }
         if !bytes.is_empty() {
-            open.written = Instant::now();
-            let written = until(limit, (&open.stream).write_all(&bytes)).await;
-            if !matches!(written, Timed::Done(Ok(()))) {
-                self.lost(now, "the counter takes nothing");
+            session.last_write_at = Instant::now();
+            let result = until(write_deadline, (&session.stream).write_all(&bytes)).await;
+            if !matches!(result, Timed::Done(Ok(()))) {
+                self.connection_lost(now, "a write failed or was not accepted within the timeout of calls");
             }
         }
         true
