--- a/crates/counter-service/tests/common/mod.rs
+++ b/crates/counter-service/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Workloads on a disk that fails, and what must hold after each failure.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A random workload on the write-ahead log with a simulated disk, and a check of the state against what the log
+//! acknowledged.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use frostgauge_counter_core::{Operation, StateMachine, DEDUP_WINDOW};
 use frostgauge_counter_service::write_ahead_log::{
@@ -12,105 +13,122 @@
 use std::collections::BTreeMap;
 
 pub const CONFIG: Config = Config { max_segment_bytes: 700, max_counters: 1_000, keep_old_segments: false };
-pub const T: u64 = 1_800_000_000_000;
-const DAY: u32 = 86_400_000;
+/// The time of all operations, milliseconds since 1970.
+pub const TIME_MS: u64 = 1_800_000_000_000;
+const DAY_MS: u32 = 86_400_000;
 
+/// Bugs to inject; the checks must find each of them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Planted {
-    /// Snapshots forget who had what counted.
-    pub forgetful: bool,
-    /// Syncs do nothing, which is as good as replying before them.
-    pub lies: bool,
+pub struct InjectedBugs {
+    /// Snapshots do not contain which adds of which gateway were counted.
+    pub snapshots_without_sessions: bool,
+    /// Syncs do nothing, which has the same effect as acknowledging adds before the sync.
+    pub ignored_syncs: bool,
 }
 
+/// An add that a gateway sends. Gateway, epoch and sequence identify it; retries have the same.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct Add {
     pub gateway: u16,
     pub epoch: u64,
     pub seq: u64,
     pub amount: i64,
-    pub name: u8,
+    /// The counter's number; its name is a letter.
+    pub counter: u8,
 }
 
-impl Sent {
+impl Add {
     pub fn operation(&self) -> Operation {
-        let Sent { gateway, epoch, seq, amount, name } = self.clone();
-        Operation::Add { gateway, epoch, seq, amount, ttl_ms: DAY, name: vec![b'a' + name] }
+        let Add { gateway, epoch, seq, amount, counter } = self.clone();
+        Operation::Add { gateway, epoch, seq, amount, ttl_ms: DAY_MS, name: vec![b'a' + counter] }
     }
 }
 
-/// The callers, who keep a tally of their own.
-pub struct World {
+/// Three gateways that send adds to the write-ahead log, and remember what it acknowledged.
+pub struct Workload {
     rng: ChaCha8Rng,
-    pub planted: Planted,
+    pub bugs: InjectedBugs,
+    /// The open log; taken out while a test works on its disk.
     pub wal: Option<WriteAheadLog<SimDisk>>,
     /// Each gateway's epoch and newest sequence.
     epochs: [(u64, u64); 3],
+    /// Number of incarnations created; the newest one has this number.
     incarnations: u8,
-    /// Told that it was counted, with the total.
-    pub acked: Vec<(Sent, i64)>,
-    /// Sent, and nothing heard.
-    pub open: Vec<Sent>,
-    /// An epoch asked for, and nothing heard.
-    opening: Option<(u16, u8)>,
-    pub refused: u64,
+    /// Adds acknowledged, with the total in the first acknowledgement.
+    pub acked: Vec<(Add, i64)>,
+    /// Adds sent that are neither acknowledged nor certainly not counted: they are sent again after recovery.
+    pub unacked: Vec<Add>,
+    /// Gateway and incarnation of a session that was requested and not acknowledged.
+    unacked_session: Option<(u16, u8)>,
+    /// Adds rejected as the disk was full.
+    pub disk_full_rejections: u64,
 }
 
-pub type Fault = Result<(), String>;
+/// `Err` describes what must hold and does not.
+pub type CheckResult = Result<(), String>;
 
-impl World {
-    pub fn new(seed: u64, planted: Planted) -> World {
+impl Workload {
+    pub fn new(seed: u64, bugs: InjectedBugs) -> Workload {
         let (wal, _) = WriteAheadLog::open(SimDisk::new(seed), CONFIG).expect("an empty disk opens");
-        World {
+        Workload {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            planted,
+            bugs,
             wal: Some(wal),
             epochs: [(0, 0); 3],
             incarnations: 0,
             acked: vec![],
-            open: vec![],
-            opening: None,
-            refused: 0,
+            unacked: vec![],
+            unacked_session: None,
+            disk_full_rejections: 0,
         }
     }
 
     pub fn disk(&mut self) -> &mut SimDisk {
-        self.wal.as_mut().expect("a store").storage_mut()
+        self.wal.as_mut().expect("the log is open").storage_mut()
     }
 
+    /// Closes the log, and returns its disk.
+    pub fn take_disk(&mut self) -> SimDisk {
+        self.wal.take().expect("the log is open").into_storage()
+    }
+
+    /// Sets the faults of the disk.
     pub fn plan(&mut self, plan: FaultPlan) {
-        let lies = self.planted.lies;
-        self.disk().set_plan(FaultPlan { ignore_syncs: lies, ..plan });
+        let ignore_syncs = self.bugs.ignored_syncs;
+        self.disk().set_plan(FaultPlan { ignore_syncs, ..plan });
     }
 
-    /// One step; false once the store has stopped.
+    /// Makes one random step: opens a session, takes a snapshot, syncs the watermark, or sends a batch of adds. Returns
+    /// false if the log has failed and must not be used any more.
     pub fn step(&mut self) -> Result<bool, String> {
         let roll = self.rng.random_range(0..100);
-        let unopened = (0..3).find(|g| self.epochs[usize::from(*g)].0 == 0);
-        if let Some(gateway) = unopened.or((roll < 4 && self.open.is_empty()).then_some(roll as u16 % 3)) {
-            return self.renew(gateway);
+        let without_session = (0..3).find(|g| self.epochs[usize::from(*g)].0 == 0);
+        let reopened = (roll < 4 && self.unacked.is_empty()).then_some(roll as u16 % 3);
+        if let Some(gateway) = without_session.or(reopened) {
+            return self.open_session(gateway);
         }
         if roll < 16 {
             return Ok(self.snapshot());
         }
         if roll < 22 {
-            return Ok(self.wal.as_mut().is_some_and(|s| s.sync_watermark().is_ok()));
+            return Ok(self.wal.as_mut().is_some_and(|wal| wal.sync_watermark().is_ok()));
         }
-        let mut batch: Vec<Sent> = vec![];
+        let mut batch: Vec<Add> = vec![];
         for _ in 0..self.rng.random_range(1..6) {
             let gateway = self.rng.random_range(0..3u16);
-            // A quarter are repeats: of one just told, or of one in this very batch.
+            // A quarter of the adds are retries: of the previous add in this batch, or of the last one acknowledged.
             if self.rng.random_range(0..4) == 0 {
-                let acked = self.acked.last().map(|(sent, _)| sent.clone());
-                let again = batch.last().cloned().or(acked.filter(|s| s.epoch == self.epoch(s.gateway)));
-                batch.extend(again);
+                let last_acked = self.acked.last().map(|(add, _)| add.clone());
+                let retry =
+                    batch.last().cloned().or(last_acked.filter(|add| add.epoch == self.epoch(add.gateway)));
+                batch.extend(retry);
                 continue;
             }
             let (epoch, newest_seq) = &mut self.epochs[usize::from(gateway)];
             *newest_seq += 1;
             let amount = self.rng.random_range(-50..100);
-            let name = self.rng.random_range(0..4);
-            batch.push(Sent { gateway, epoch: *epoch, seq: *newest_seq, amount, name });
+            let counter = self.rng.random_range(0..4);
+            batch.push(Add { gateway, epoch: *epoch, seq: *newest_seq, amount, counter });
         }
         self.send(batch)
     }
@@ -119,46 +137,55 @@
         self.epochs[usize::from(gateway)].0
     }
 
-    fn renew(&mut self, gateway: u16) -> Result<bool, String> {
-        let incarnation = match self.opening {
+    /// Opens a session of a new incarnation, or requests one again that was not acknowledged. Returns false if the log
+    /// has failed.
+    fn open_session(&mut self, gateway: u16) -> Result<bool, String> {
+        let incarnation = match self.unacked_session {
             Some((g, incarnation)) if g == gateway => incarnation,
             _ => {
                 self.incarnations += 1;
                 self.incarnations
             }
         };
-        self.opening = Some((gateway, incarnation));
+        self.unacked_session = Some((gateway, incarnation));
         let Some(wal) = &mut self.wal else { return Ok(false) };
-        match wal.commit(T, vec![Operation::Open { gateway, incarnation: [incarnation; 16] }]) {
+        match wal.commit(TIME_MS, vec![Operation::Open { gateway, incarnation: [incarnation; 16] }]) {
             Ok(outcomes) => match outcomes[0] {
                 Outcome::Applied(epoch) | Outcome::Duplicate(epoch) => {
                     let epoch = epoch as u64;
                     if epoch <= self.epoch(gateway) {
-                        return Err(format!("gateway {gateway}: epoch {epoch} was given twice"));
+                        return Err(format!(
+                            "gateway {gateway}: the new session has epoch {epoch}, which is not past the previous one"
+                        ));
                     }
                     self.epochs[usize::from(gateway)] = (epoch, 0);
-                    self.opening = None;
+                    self.unacked_session = None;
                     Ok(true)
                 }
                 Outcome::Rejected(RejectReason::DiskFull) => {
-                    self.opening = None;
+                    self.unacked_session = None;
                     Ok(true)
                 }
-                Outcome::Rejected(code) => Err(format!("gateway {gateway}: {code:?}")),
+                Outcome::Rejected(reason) => {
+                    Err(format!("gateway {gateway}: session rejected with {reason:?}"))
+                }
             },
             Err(_) => Ok(false),
         }
     }
 
+    /// Takes a snapshot. Returns false if the disk has lost power.
     fn snapshot(&mut self) -> bool {
         let Some(wal) = &mut self.wal else { return false };
         let mut snapshot = wal.begin_snapshot();
         if snapshot.index == 0 {
             return true;
         }
-        if self.planted.forgetful {
-            snapshot.bytes =
-                StateMachine::restore(&snapshot.bytes).expect("own bytes").forgetful().snapshot();
+        if self.bugs.snapshots_without_sessions {
+            snapshot.bytes = StateMachine::restore(&snapshot.bytes)
+                .expect("a snapshot just encoded can be restored")
+                .forgetful()
+                .snapshot();
         }
         if write_snapshot(wal.storage_mut(), &snapshot).is_ok() {
             let _ = wal.prune(snapshot.index);
@@ -166,88 +193,95 @@
         !wal.storage().has_crashed()
     }
 
-    /// Sends a batch and notes what is told; whether the store goes on.
-    pub fn send(&mut self, batch: Vec<Sent>) -> Result<bool, String> {
+    /// Sends a batch and records the outcomes. Returns false if the log has failed.
+    pub fn send(&mut self, batch: Vec<Add>) -> Result<bool, String> {
         let Some(wal) = &mut self.wal else { return Ok(false) };
-        let outcomes = wal.commit(T, batch.iter().map(Sent::operation).collect());
-        let goes_on = outcomes.is_ok();
-        for (k, sent) in batch.into_iter().enumerate() {
-            match outcomes.as_ref().ok().map(|g| g[k]) {
+        let outcomes = wal.commit(TIME_MS, batch.iter().map(Add::operation).collect());
+        let succeeded = outcomes.is_ok();
+        for (k, add) in batch.into_iter().enumerate() {
+            match outcomes.as_ref().ok().map(|outcomes| outcomes[k]) {
                 Some(Outcome::Applied(total)) => {
-                    if self.acked.iter().any(|(a, _)| same(a, &sent)) {
-                        return Err(format!("{sent:?} was counted twice"));
+                    if self.acked.iter().any(|(acked, _)| is_same_add(acked, &add)) {
+                        return Err(format!("{add:?} was counted twice"));
                     }
-                    self.open.retain(|o| !same(o, &sent));
-                    self.acked.push((sent, total));
+                    self.unacked.retain(|unacked| !is_same_add(unacked, &add));
+                    self.acked.push((add, total));
                 }
-                Some(Outcome::Duplicate(total)) => match self.acked.iter().find(|(a, _)| same(a, &sent)) {
-                    Some((_, first)) if *first != total => {
-                        return Err(format!("{sent:?}: {first} at first, {total} now"));
+                Some(Outcome::Duplicate(total)) => {
+                    match self.acked.iter().find(|(acked, _)| is_same_add(acked, &add)) {
+                        Some((_, first)) if *first != total => {
+                            return Err(format!(
+                                "{add:?}: total {first} when first sent, {total} on a retry"
+                            ));
+                        }
+                        Some(_) => {}
+                        None => {
+                            self.unacked.retain(|unacked| !is_same_add(unacked, &add));
+                            self.acked.push((add, total));
+                        }
                     }
-                    Some(_) => {}
-                    None => {
-                        self.open.retain(|o| !same(o, &sent));
-                        self.acked.push((sent, total));
-                    }
-                },
+                }
                 Some(Outcome::Rejected(RejectReason::DiskFull)) => {
-                    self.refused += 1;
-                    // Nothing was added: it may go again.
-                    self.note_open(sent);
+                    self.disk_full_rejections += 1;
+                    // Nothing was added, so it may be sent again.
+                    self.record_unacked(add);
                 }
-                Some(Outcome::Rejected(code)) => return Err(format!("{sent:?}: {code:?}")),
-                None => self.note_open(sent),
+                Some(Outcome::Rejected(reason)) => return Err(format!("{add:?}: rejected with {reason:?}")),
+                None => self.record_unacked(add),
             }
         }
-        Ok(goes_on)
+        Ok(succeeded)
     }
 
-    fn note_open(&mut self, sent: Sent) {
-        let known =
-            self.open.iter().any(|o| same(o, &sent)) || self.acked.iter().any(|(a, _)| same(a, &sent));
+    fn record_unacked(&mut self, add: Add) {
+        let known = self.unacked.iter().any(|unacked| is_same_add(unacked, &add))
+            || self.acked.iter().any(|(acked, _)| is_same_add(acked, &add));
         if !known {
-            self.open.push(sent);
+            self.unacked.push(add);
         }
     }
 
-    /// Opens the disk again, asks after everything, and compares with the tally.
-    pub fn recover(&mut self, disk: SimDisk) -> Fault {
-        let (wal, _) = WriteAheadLog::open(disk, CONFIG).map_err(|refused| format!("refused: {refused}"))?;
+    /// Opens the log from `disk`, and checks it.
+    pub fn recover(&mut self, disk: SimDisk) -> CheckResult {
+        let (wal, _) =
+            WriteAheadLog::open(disk, CONFIG).map_err(|error| format!("recovery failed: {error}"))?;
         self.wal = Some(wal);
         self.check()
     }
 
-    pub fn check(&mut self) -> Fault {
-        if let Some((gateway, _)) = self.opening {
-            self.renew(gateway)?;
+    /// Sends again what was not acknowledged, and checks that each add is counted exactly once: retries of acknowledged
+    /// adds get their first totals, and the totals of the counters are the sums of the acknowledged adds.
+    pub fn check(&mut self) -> CheckResult {
+        if let Some((gateway, _)) = self.unacked_session {
+            self.open_session(gateway)?;
         }
-        let open = std::mem::take(&mut self.open);
-        let goes_on = self.send(open)?;
-        if !goes_on || !self.open.is_empty() {
-            return Err("the store does not go on".into());
+        let unacked = std::mem::take(&mut self.unacked);
+        let succeeded = self.send(unacked)?;
+        if !succeeded || !self.unacked.is_empty() {
+            return Err("the log does not accept adds after recovery".into());
         }
-        // What was told is remembered, as far as the window goes.
-        let recent = |(s, _): &&(Sent, i64)| {
-            let (epoch, newest_seq) = self.epochs[usize::from(s.gateway)];
-            s.epoch == epoch && s.seq + DEDUP_WINDOW > newest_seq
+        // Acknowledged adds are only known to be duplicates inside the deduplication window.
+        let in_window = |(add, _): &&(Add, i64)| {
+            let (epoch, newest_seq) = self.epochs[usize::from(add.gateway)];
+            add.epoch == epoch && add.seq + DEDUP_WINDOW > newest_seq
         };
-        let again: Vec<Sent> = self.acked.iter().filter(recent).map(|(s, _)| s.clone()).collect();
-        self.send(again)?;
-        let mut tally: BTreeMap<Vec<u8>, i64> = BTreeMap::new();
-        for (sent, _) in &self.acked {
-            *tally.entry(vec![b'a' + sent.name]).or_default() += sent.amount;
+        let retries: Vec<Add> = self.acked.iter().filter(in_window).map(|(add, _)| add.clone()).collect();
+        self.send(retries)?;
+        let mut expected: BTreeMap<Vec<u8>, i64> = BTreeMap::new();
+        for (add, _) in &self.acked {
+            *expected.entry(vec![b'a' + add.counter]).or_default() += add.amount;
         }
-        let wal = self.wal.as_ref().expect("a store");
+        let wal = self.wal.as_ref().expect("the log is open");
         let totals: BTreeMap<Vec<u8>, i64> =
-            wal.machine().counters().map(|(name, number)| (name.to_vec(), number.total)).collect();
-        if totals == tally {
+            wal.machine().counters().map(|(name, counter)| (name.to_vec(), counter.total)).collect();
+        if totals == expected {
             Ok(())
         } else {
-            Err(format!("totals {totals:?}, the callers' tally is {tally:?}"))
+            Err(format!("totals are {totals:?}, but the acknowledged adds sum up to {expected:?}"))
         }
     }
 }
 
-pub fn same(a: &Sent, b: &Sent) -> bool {
+pub fn is_same_add(a: &Add, b: &Add) -> bool {
     (a.gateway, a.epoch, a.seq) == (b.gateway, b.epoch, b.seq)
 }
--- a/crates/counter-service/tests/write_ahead_log.rs
+++ b/crates/counter-service/tests/write_ahead_log.rs
@@ -1,261 +1,289 @@
-//! Files cut short, damaged, mixed up, and a disk that is full: right, or refused with file and place.
+//! Recovery of truncated, damaged and mismatched files, and a full disk: the state must be exact, or the files must be
+//! refused with a message that names the file and the offset.
 
 mod common;
 
-use common::{Planted, Sent, World, CONFIG, T};
+use common::{Add, InjectedBugs, Workload, CONFIG, TIME_MS};
 use frostgauge_counter_core::Operation;
 use frostgauge_counter_service::write_ahead_log::{tools, CommitOutcome, Config, WriteAheadLog};
 use frostgauge_proto::counter::RejectReason;
 use frostgauge_storage::sim::{FaultPlan, SimDisk};
 use frostgauge_storage::{read, Disk, Storage};
 
-/// A world after some steps with everything told, and its disk.
-fn played(seed: u64, steps: usize) -> (World, SimDisk) {
-    let mut world = World::new(seed, Planted::default());
+/// Runs a workload for some steps, syncs the watermark, and closes the log. Returns the workload and its disk.
+fn run_workload(seed: u64, steps: usize) -> (Workload, SimDisk) {
+    let mut workload = Workload::new(seed, InjectedBugs::default());
     for _ in 0..steps {
-        assert!(world.step().expect("no fault"), "it goes on");
+        assert!(workload.step().expect("the checks hold"), "the log failed without a fault of the disk");
     }
-    let mut wal = world.wal.take().expect("a store");
-    wal.sync_watermark().expect("it seals");
-    (world, wal.into_storage())
+    let mut wal = workload.wal.take().expect("the log is open");
+    wal.sync_watermark().expect("the watermark is synced");
+    (workload, wal.into_storage())
 }
 
-fn named(disk: &SimDisk, end: &str) -> Vec<String> {
-    disk.list().expect("a list").into_iter().filter(|n| n.ends_with(end)).collect()
+fn files_with_suffix(disk: &SimDisk, suffix: &str) -> Vec<String> {
+    disk.list().expect("files are listed").into_iter().filter(|n| n.ends_with(suffix)).collect()
 }
 
-fn refused(disk: SimDisk) -> Option<String> {
-    WriteAheadLog::open(disk, CONFIG).err().map(|r| r.to_string())
+/// The message with which recovery refuses the disk; `None` if the log opens.
+fn recovery_error(disk: SimDisk) -> Option<String> {
+    WriteAheadLog::open(disk, CONFIG).err().map(|error| error.to_string())
 }
 
 #[test]
-fn a_log_cut_anywhere_in_its_last_records_is_refused_or_right() {
-    let (world, disk) = played(3, 60);
-    let last = named(&disk, ".fgl").pop().expect("a log");
-    let whole = read(&disk, &last).expect("read").len();
-    let known = world.acked.len();
-    // A record is under 80 bytes: the last three, and some more.
-    for len in whole.saturating_sub(400)..whole {
+fn log_cut_below_the_watermark_is_refused() {
+    let (workload, disk) = run_workload(3, 60);
+    let newest_segment = files_with_suffix(&disk, ".fgl").pop().expect("there is a segment");
+    let full_len = read(&disk, &newest_segment).expect("the segment is read").len();
+    let acked = workload.acked.len();
+    // A record is shorter than 80 bytes, so this cuts into at least the last three.
+    for len in full_len.saturating_sub(400)..full_len {
         let mut cut = disk.clone();
-        cut.edit_behind_back(&last, |bytes| bytes.truncate(len));
-        let what =
-            refused(cut).unwrap_or_else(|| panic!("{len} of {whole}: taken, though {known} were told"));
-        assert!(what.contains(".fgl at byte") && what.contains("durable"), "{what}");
+        cut.edit_behind_back(&newest_segment, |bytes| bytes.truncate(len));
+        let error = recovery_error(cut).unwrap_or_else(|| {
+            panic!("a log cut to {len} of {full_len} bytes opens, though {acked} adds were acknowledged")
+        });
+        assert!(error.contains(".fgl at byte") && error.contains("durable"), "{error}");
     }
 }
 
+/// A power loss may also undo the unsynced watermark. Then the tail counts as never acknowledged, and a log cut at any
+/// length opens with the records before the cut.
 #[test]
-fn a_log_cut_before_anything_was_claimed_is_a_prefix() {
-    // As after a loss of power that took the unsynced claim along: the tail counts as never told.
-    let (_, disk) = played(3, 60);
-    let (last, empty) = (named(&disk, ".fgl").pop().expect("a log"), vec![]);
-    let whole = read(&disk, &last).expect("read").len();
+fn log_cut_without_a_watermark_opens_as_a_prefix() {
+    let (_, disk) = run_workload(3, 60);
+    let newest_segment = files_with_suffix(&disk, ".fgl").pop().expect("there is a segment");
+    let empty = vec![];
+    let full_len = read(&disk, &newest_segment).expect("the segment is read").len();
     let (mut last_index, mut indexes) = (0, std::collections::BTreeSet::new());
-    for len in 0..=whole {
+    for len in 0..=full_len {
         let mut cut = disk.clone();
         cut.edit_behind_back("durable", |bytes| *bytes = empty.clone());
-        cut.edit_behind_back(&last, |bytes| bytes.truncate(len));
-        let (wal, _) = WriteAheadLog::open(cut, CONFIG).unwrap_or_else(|r| panic!("{len}: {r}"));
+        cut.edit_behind_back(&newest_segment, |bytes| bytes.truncate(len));
+        let (wal, _) =
+            WriteAheadLog::open(cut, CONFIG).unwrap_or_else(|error| panic!("cut to {len} bytes: {error}"));
         let index = wal.machine().index();
-        assert!(index >= last_index, "{len}: more bytes, fewer records");
+        assert!(
+            index >= last_index,
+            "cut to {len} bytes: recovered up to record {index}, but with a shorter log up to {last_index}"
+        );
         last_index = index;
         indexes.insert(index);
     }
-    assert!(indexes.len() > 1, "{indexes:?}");
+    assert!(indexes.len() > 1, "every cut recovered to the same record: {indexes:?}");
 }
 
 #[test]
-fn one_flipped_bit_anywhere_is_refused_or_harmless() {
-    let (mut world, disk) = played(11, 50);
-    let (mut refusals, mut right) = (0, 0);
-    let (acked, n) = (world.acked.clone(), world.acked.len());
-    for name in disk.list().expect("a list") {
-        let bits = read(&disk, &name).expect("read").len() * 8;
-        // Every bit of small files, a spread of the bits of large ones.
+fn a_flipped_bit_is_refused_or_leaves_the_state_exact() {
+    let (mut workload, disk) = run_workload(11, 50);
+    let (mut refused, mut exact) = (0, 0);
+    let (acked, acked_len) = (workload.acked.clone(), workload.acked.len());
+    for name in disk.list().expect("files are listed") {
+        let bits = read(&disk, &name).expect("the file is read").len() * 8;
+        // Every bit of small files, and evenly spaced bits of large ones.
         for bit in (0..bits).step_by(1 + bits / 1_500) {
             let mut flipped = disk.clone();
             flipped.flip_bit(&name, bit);
             match WriteAheadLog::open(flipped, CONFIG) {
-                Err(refused) => {
-                    refusals += 1;
-                    assert!(!refused.reason.is_empty() && !refused.file.is_empty());
+                Err(error) => {
+                    refused += 1;
+                    assert!(!error.reason.is_empty() && !error.file.is_empty());
                 }
                 Ok((wal, _)) => {
-                    right += 1;
-                    world.wal = Some(wal);
-                    world.check().unwrap_or_else(|what| panic!("{name} bit {bit}: {what}"));
-                    assert_eq!(world.acked.len(), n);
-                    world.acked.clone_from(&acked);
+                    exact += 1;
+                    workload.wal = Some(wal);
+                    workload.check().unwrap_or_else(|failure| panic!("{name} bit {bit}: {failure}"));
+                    assert_eq!(workload.acked.len(), acked_len);
+                    workload.acked.clone_from(&acked);
                 }
             }
         }
     }
-    assert!(refusals > 100 && right > 100, "{refusals} refused, {right} right");
+    assert!(refused > 100 && exact > 100, "{refused} flips were refused, {exact} left the state exact");
 }
 
 #[test]
-fn two_snapshots_of_which_one_is_damaged() {
+fn one_of_two_snapshots_may_be_damaged() {
     for damaged in [0, 1] {
-        let (mut world, mut disk) = played(5, 120);
-        let snapshots = named(&disk, ".fgs");
+        let (mut workload, mut disk) = run_workload(5, 120);
+        let snapshots = files_with_suffix(&disk, ".fgs");
         assert_eq!(snapshots.len(), 2);
         disk.flip_bit(&snapshots[damaged], 999);
-        world.recover(disk).expect("the other one and the log do");
-        let disk = world.wal.take().expect("a store").into_storage();
-        let aside = named(&disk, ".damaged");
-        assert_eq!(aside.len(), damaged, "only the newest is read: {aside:?}");
-        // And it goes on from there, snapshots and all.
-        world.wal = Some(WriteAheadLog::open(disk, CONFIG).expect("again").0);
+        workload.recover(disk).expect("the other snapshot and the log suffice");
+        let disk = workload.take_disk();
+        let renamed = files_with_suffix(&disk, ".damaged");
+        assert_eq!(
+            renamed.len(),
+            damaged,
+            "the older snapshot is not read if the newer one is intact; renamed files: {renamed:?}"
+        );
+        // The service goes on from the recovered state, including its snapshots.
+        workload.wal = Some(WriteAheadLog::open(disk, CONFIG).expect("the recovered files open again").0);
         for _ in 0..60 {
-            assert!(world.step().expect("no fault"));
+            assert!(workload.step().expect("the checks hold"), "the log failed without a fault of the disk");
         }
-        let disk = world.wal.take().expect("a store").into_storage();
-        world.recover(disk).expect("right");
+        let disk = workload.take_disk();
+        workload.recover(disk).expect("the state is exact");
     }
 }
 
 #[test]
-fn a_snapshot_newer_than_the_log_and_a_log_newer_than_the_snapshot() {
-    let (mut world, _) = played(9, 0);
-    world.wal = Some(WriteAheadLog::open(SimDisk::new(9), CONFIG).expect("empty").0);
+fn log_and_snapshot_may_end_at_different_records() {
+    let (mut workload, _) = run_workload(9, 0);
+    workload.wal = Some(WriteAheadLog::open(SimDisk::new(9), CONFIG).expect("an empty disk opens").0);
     for _ in 0..40 {
-        world.step().expect("no fault");
+        workload.step().expect("the checks hold");
     }
-    let mut wal = world.wal.take().expect("a store");
-    wal.snapshot().expect("room");
+    let mut wal = workload.wal.take().expect("the log is open");
+    wal.snapshot().expect("the snapshot is written");
     let index = wal.machine().index();
     let mut disk = wal.into_storage();
-    let last = named(&disk, ".fgl").pop().expect("a log");
-    // The log loses its end, all of which is in the snapshot.
-    disk.edit_behind_back(&last, |bytes| bytes.truncate(60));
-    let refused = refused(disk.clone()).expect("the claim tells that more was durable there");
-    assert!(refused.contains(&last), "{refused}");
+    let newest_segment = files_with_suffix(&disk, ".fgl").pop().expect("there is a segment");
+    // The log loses its end, which the snapshot covers.
+    disk.edit_behind_back(&newest_segment, |bytes| bytes.truncate(60));
+    let error = recovery_error(disk.clone()).expect("the watermark shows that the lost part was durable");
+    assert!(error.contains(&newest_segment), "{error}");
     disk.edit_behind_back("durable", Vec::clear);
-    world.recover(disk).expect("the snapshot holds all");
-    assert!(world.wal.as_ref().expect("a store").machine().index() >= index);
+    workload.recover(disk).expect("the snapshot covers the lost part");
+    assert!(workload.wal.as_ref().expect("the log is open").machine().index() >= index);
     for _ in 0..40 {
-        world.step().expect("no fault");
+        workload.step().expect("the checks hold");
     }
-    let disk = world.wal.take().expect("a store").into_storage();
-    world.recover(disk).expect("the gap before the snapshot does no harm");
-    // All logs gone, the snapshot older than what was told.
-    let wal = world.wal.as_mut().expect("a store");
-    wal.commit(T, vec![Operation::Open { gateway: 9, incarnation: [9; 16] }]).expect("room");
-    wal.sync_watermark().expect("it seals");
-    let mut disk = world.wal.take().expect("a store").into_storage();
-    for name in named(&disk, ".fgl") {
+    let disk = workload.take_disk();
+    workload.recover(disk).expect("the gap in the log before the snapshot does no harm");
+    // All segments are lost, and the snapshot is older than the last acknowledged record.
+    let wal = workload.wal.as_mut().expect("the log is open");
+    wal.commit(TIME_MS, vec![Operation::Open { gateway: 9, incarnation: [9; 16] }])
+        .expect("the commit is durable");
+    wal.sync_watermark().expect("the watermark is synced");
+    let mut disk = workload.take_disk();
+    for name in files_with_suffix(&disk, ".fgl") {
         disk.remove_behind_back(&name);
     }
     assert!(WriteAheadLog::open(disk, CONFIG).is_err());
 }
 
 #[test]
-fn a_full_disk_in_mid_batch_and_room_again() {
-    for at in 1..60 {
-        let (mut world, disk) = played(at, 10);
-        world.wal = Some(WriteAheadLog::open(disk, CONFIG).expect("again").0);
-        world.plan(FaultPlan { full_from_call: at, full_for_calls: 12, ..FaultPlan::default() });
+fn a_full_disk_rejects_adds_and_recovers_with_space() {
+    for first_full_call in 1..60 {
+        let (mut workload, disk) = run_workload(first_full_call, 10);
+        workload.wal = Some(WriteAheadLog::open(disk, CONFIG).expect("the files open again").0);
+        workload.plan(FaultPlan {
+            full_from_call: first_full_call,
+            full_for_calls: 12,
+            ..FaultPlan::default()
+        });
         for _ in 0..40 {
-            assert!(world.step().expect("no fault"), "a full disk is no reason to stop");
+            assert!(workload.step().expect("the checks hold"), "the log failed because the disk was full");
         }
-        world.check().expect("nothing of what was refused was counted");
-        let disk = world.wal.take().expect("a store").into_storage();
-        world.recover(disk).expect("and nothing is left of it in the files");
+        workload.check().expect("no rejected add was counted");
+        let disk = workload.take_disk();
+        workload.recover(disk).expect("no rejected add is left in the files");
     }
 }
 
 #[test]
-fn a_failed_sync_stops_and_tells_nobody() {
-    let (mut world, disk) = played(2, 10);
-    let mut wal = WriteAheadLog::open(disk, CONFIG).expect("again").0;
-    // Opening calls nothing more; the write of a group comes before its sync.
+fn a_failed_sync_fails_the_commit() {
+    let (mut workload, disk) = run_workload(2, 10);
+    let mut wal = WriteAheadLog::open(disk, CONFIG).expect("the files open again").0;
+    // The first commit after opening makes four calls to create a segment, then writes the group and syncs it.
     wal.storage_mut().set_plan(FaultPlan { failed_sync_at_call: 6, ..FaultPlan::default() });
-    let epoch = world.epoch(0);
-    let sent = |seq| Sent { gateway: 0, epoch, seq, amount: 5, name: 0 };
-    world.wal = Some(wal);
+    let epoch = workload.epoch(0);
+    let add = |seq| Add { gateway: 0, epoch, seq, amount: 5, counter: 0 };
+    workload.wal = Some(wal);
     let mut stopped = false;
     for seq in 400..410 {
-        if !world.send(vec![sent(seq)]).expect("no fault") {
+        if !workload.send(vec![add(seq)]).expect("the checks hold") {
             stopped = true;
             break;
         }
     }
-    assert!(stopped && world.open.len() == 1);
+    assert!(stopped && workload.unacked.len() == 1);
 }
 
 #[test]
-fn a_file_of_another_format_is_named() {
-    let (_, mut disk) = played(4, 30);
-    let last = named(&disk, ".fgl").pop().expect("a log");
-    disk.edit_behind_back(&last, |bytes| {
+fn a_file_of_another_format_is_named_in_the_error() {
+    let (_, mut disk) = run_workload(4, 30);
+    let newest_segment = files_with_suffix(&disk, ".fgl").pop().expect("there is a segment");
+    disk.edit_behind_back(&newest_segment, |bytes| {
         bytes[7] = 9;
-        let sum = frostgauge_counter_service::write_ahead_log::format::crc32c(&bytes[..16]);
-        bytes[16..20].copy_from_slice(&sum.to_be_bytes());
+        let checksum = frostgauge_counter_service::write_ahead_log::format::crc32c(&bytes[..16]);
+        bytes[16..20].copy_from_slice(&checksum.to_be_bytes());
     });
-    let what = refused(disk.clone()).expect("refused");
-    assert!(what.contains(&last) && what.contains("version"), "{what}");
+    let error = recovery_error(disk.clone()).expect("the segment is refused");
+    assert!(error.contains(&newest_segment) && error.contains("version"), "{error}");
     disk.edit_behind_back("durable", |bytes| bytes[7] = 2);
-    assert!(refused(disk).expect("refused").contains("durable"));
+    assert!(recovery_error(disk).expect("the watermark file is refused").contains("durable"));
 }
 
-fn folder() -> std::path::PathBuf {
+fn new_folder() -> std::path::PathBuf {
     let name = format!("frostgauge-counter-{}-{:016x}", std::process::id(), rand::random::<u64>());
     std::env::temp_dir().join(name)
 }
 
 #[test]
-fn a_folder_on_disk_serves_one_process_and_the_tools() {
-    let folder = folder();
+fn a_folder_opens_for_one_process_and_for_the_tools() {
+    let folder = new_folder();
     let config = Config { max_segment_bytes: 2_000, max_counters: 100, keep_old_segments: false };
     let (mut wal, _) =
-        WriteAheadLog::open(Disk::open_exclusive(&folder).expect("free"), config).expect("empty");
-    let in_use = Disk::open_exclusive(&folder).expect_err("in use");
+        WriteAheadLog::open(Disk::open_exclusive(&folder).expect("the folder is not in use"), config)
+            .expect("an empty folder opens");
+    let in_use = Disk::open_exclusive(&folder).expect_err("the folder is in use");
     assert!(in_use.to_string().contains(&std::process::id().to_string()), "{in_use}");
-    let outcomes = wal.commit(T, vec![Operation::Open { gateway: 7, incarnation: [1; 16] }]).expect("room");
-    assert_eq!(outcomes, [CommitOutcome::Applied(T as i64)]);
+    let open = Operation::Open { gateway: 7, incarnation: [1; 16] };
+    let outcomes = wal.commit(TIME_MS, vec![open]).expect("the commit is durable");
+    assert_eq!(outcomes, [CommitOutcome::Applied(TIME_MS as i64)]);
     for seq in 1..=100 {
-        let operation =
-            Operation::Add { gateway: 7, epoch: T, seq, amount: 3, ttl_ms: 1_000, name: b"x".to_vec() };
-        assert_eq!(wal.commit(T, vec![operation]).expect("room"), [CommitOutcome::Applied(3 * seq as i64)]);
+        let add =
+            Operation::Add { gateway: 7, epoch: TIME_MS, seq, amount: 3, ttl_ms: 1_000, name: b"x".to_vec() };
+        assert_eq!(
+            wal.commit(TIME_MS, vec![add]).expect("the commit is durable"),
+            [CommitOutcome::Applied(3 * seq as i64)]
+        );
     }
-    // A running service's files can be verified.
-    let seen = tools::verify(&folder).expect("readable");
-    assert!(seen.faults.is_empty() && seen.recovery.is_ok() && seen.recovered_index == 101, "{seen:?}");
+    // The files can be verified while the log is open.
+    let report = tools::verify(&folder).expect("the files are read");
+    assert!(
+        report.faults.is_empty() && report.recovery.is_ok() && report.recovered_index == 101,
+        "{report:?}"
+    );
     let mut records = 0;
-    tools::dump(&folder, |_| records += 1).expect("whole");
+    tools::dump(&folder, |_| records += 1).expect("the log is intact");
     assert_eq!(records, 101);
-    assert!(tools::snapshot(&folder).expect_err("in use").contains("in use"));
+    assert!(tools::snapshot(&folder).expect_err("the folder is in use").contains("in use"));
     drop(wal);
-    tools::snapshot(&folder).expect("free");
-    assert_eq!(tools::replay(&folder).expect("whole").read(T, b"x"), 300);
-    let files = tools::verify(&folder).expect("readable").files;
-    let log = files.iter().find(|(name, _, _)| name.ends_with(".fgl")).expect("a log").0.clone();
-    let mut bytes = std::fs::read(folder.join(&log)).expect("read");
+    tools::snapshot(&folder).expect("the folder is not in use");
+    assert_eq!(tools::replay(&folder).expect("the files are intact").read(TIME_MS, b"x"), 300);
+    let files = tools::verify(&folder).expect("the files are read").files;
+    let segment =
+        files.iter().find(|(name, _, _)| name.ends_with(".fgl")).expect("there is a segment").0.clone();
+    let mut bytes = std::fs::read(folder.join(&segment)).expect("the segment is read");
     bytes[100] ^= 1;
-    std::fs::write(folder.join(&log), bytes).expect("written");
-    let seen = tools::verify(&folder).expect("readable");
-    assert!(seen.faults.len() == 1 && seen.faults[0].contains(&log), "{:?}", seen.faults);
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::write(folder.join(&segment), bytes).expect("the segment is written");
+    let report = tools::verify(&folder).expect("the files are read");
+    assert!(report.faults.len() == 1 && report.faults[0].contains(&segment), "{:?}", report.faults);
+    std::fs::remove_dir_all(&folder).expect("the folder is removed");
 }
 
 #[test]
-fn names_beyond_the_bound_and_stale_repeats_are_refused_by_code() {
+fn outcomes_tell_duplicates_from_too_many_counters() {
     let (mut wal, _) = WriteAheadLog::open(
         SimDisk::new(1),
         Config { max_segment_bytes: 4_000, max_counters: 1, keep_old_segments: false },
     )
-    .expect("empty");
-    wal.commit(T, vec![Operation::Open { gateway: 0, incarnation: [1; 16] }]).expect("room");
-    let operation = |seq, name: &[u8]| Operation::Add {
+    .expect("an empty disk opens");
+    wal.commit(TIME_MS, vec![Operation::Open { gateway: 0, incarnation: [1; 16] }])
+        .expect("the commit is durable");
+    let add = |seq, name: &[u8]| Operation::Add {
         gateway: 0,
-        epoch: T,
+        epoch: TIME_MS,
         seq,
         amount: 1,
         ttl_ms: 1_000,
         name: name.to_vec(),
     };
     let outcomes =
-        wal.commit(T, vec![operation(1, b"a"), operation(1, b"a"), operation(2, b"b")]).expect("room");
+        wal.commit(TIME_MS, vec![add(1, b"a"), add(1, b"a"), add(2, b"b")]).expect("the commit is durable");
     assert_eq!(
         outcomes,
         [
