--- a/crates/counter-service/tests/sockets.rs
+++ b/crates/counter-service/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The daemon on sockets: keys, replays, half frames, floods, kills, identities claimed twice.
+//! The daemon over TCP: wrong keys, replayed frames, incomplete frames, floods, kills, and two processes with the same
+//! gateway number.
 
 #[path = "../../../tests/common/pages.rs"]
 mod pages;
@@ -19,19 +20,20 @@
     admin: SocketAddr,
 }
 
-fn secret(path: &std::path::Path, text: &str) {
+fn write_secret(path: &std::path::Path, text: &str) {
     use std::os::unix::fs::PermissionsExt;
-    std::fs::write(path, text).expect("written");
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).expect("set");
+    std::fs::write(path, text).expect("the key file is written");
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).expect("the permissions are set");
 }
 
-/// Addresses of which the system gives the ports. Two of them, as the service takes no address for both sockets.
+/// Addresses whose ports the system chooses. They differ, as the service rejects settings with the same address for both
+/// sockets.
 const LISTEN: &str = "127.0.0.1:0";
 const ADMIN: &str = "127.0.0.2:0";
-/// Long enough for a sync of a busy disk, which delays the queue and the opening of a session.
+/// Longer than a sync on a busy disk, which delays the queue and the opening of a session.
 const SLOW_SYNC_MS: u64 = 2_000;
 
-/// The addresses in the log line by which a service says that it is ready.
+/// The listening and the admin address in the log line "ready"; `None` for any other line.
 fn bound_addresses(line: &str) -> Option<(SocketAddr, SocketAddr)> {
     let event: serde_json::Value = serde_json::from_str(line).ok()?;
     if event["message"] != "ready" {
@@ -45,20 +47,23 @@
     fn new(limits: &str) -> Service {
         let name = format!("frostgauge-counter-{}-{:016x}", std::process::id(), rand::random::<u64>());
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(folder.join("keys")).expect("made");
+        std::fs::create_dir_all(folder.join("keys")).expect("the folder is created");
         for gateway in 0..4 {
-            secret(&folder.join(format!("keys/{gateway}.key")), &format!("new-{gateway}\nold-{gateway}\n"));
+            write_secret(
+                &folder.join(format!("keys/{gateway}.key")),
+                &format!("new-{gateway}\nold-{gateway}\n"),
+            );
         }
-        let text = format!(
+        let settings = format!(
             "{{ listen: '{LISTEN}', admin: '{ADMIN}', data: 'data', keys: 'keys', limits: {limits} }}"
         );
-        std::fs::write(folder.join("counter.jsonnet"), text).expect("written");
-        let (child, address, admin) = Service::launch(&folder);
+        std::fs::write(folder.join("counter.jsonnet"), settings).expect("the settings are written");
+        let (child, address, admin) = Service::spawn(&folder);
         Service { child, folder, address, admin }
     }
 
-    /// Starts a service; returns once it is ready, with the addresses that it listens on.
-    fn launch(folder: &std::path::Path) -> (Child, SocketAddr, SocketAddr) {
+    /// Starts the daemon, and returns once it is ready, with its listening and its admin address.
+    fn spawn(folder: &std::path::Path) -> (Child, SocketAddr, SocketAddr) {
         let mut child = Command::new(env!("CARGO_BIN_EXE_frostgauge-counter"))
             .arg("--log-json")
             .arg("--config")
@@ -66,10 +71,10 @@
             .env("FROSTGAUGE_LOG", "info")
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
-        let log = BufReader::new(child.stderr.take().expect("a pipe"));
-        let (sender, bound) = std::sync::mpsc::channel();
-        // Reads to the end, so that a full pipe never holds the service up.
+            .expect("the daemon is spawned");
+        let log = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
+        let (sender, receiver) = std::sync::mpsc::channel();
+        // Reads to the end, so that a full pipe never blocks the service.
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 if let Some(addresses) = bound_addresses(&line) {
@@ -77,27 +82,30 @@
                 }
             }
         });
-        let (address, admin) = bound.recv_timeout(Duration::from_secs(20)).expect("it is ready");
+        let (address, admin) =
+            receiver.recv_timeout(Duration::from_secs(20)).expect("the daemon logs 'ready' within 20 s");
         (child, address, admin)
     }
 
+    /// Kills the daemon, and starts it again with the same folder.
     fn restart(&mut self) {
-        self.child.kill().expect("killed");
-        self.child.wait().expect("ended");
-        (self.child, self.address, self.admin) = Service::launch(&self.folder);
+        self.child.kill().expect("the daemon is killed");
+        self.child.wait().expect("the daemon has ended");
+        (self.child, self.address, self.admin) = Service::spawn(&self.folder);
     }
 
+    /// Body of an admin page.
     fn page(&self, path: &str) -> String {
-        let mut stream = TcpStream::connect(self.admin).expect("connected");
+        let mut stream = TcpStream::connect(self.admin).expect("the admin address accepts");
         let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
-        stream.write_all(request.as_bytes()).expect("written");
+        stream.write_all(request.as_bytes()).expect("the request is written");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("read");
-        text.split_once("\r\n\r\n").expect("a body").1.to_owned()
+        stream.read_to_string(&mut text).expect("the response is read");
+        text.split_once("\r\n\r\n").expect("the response has a body").1.to_owned()
     }
 
     fn status(&self) -> serde_json::Value {
-        serde_json::from_str(&self.page("/status")).expect("JSON")
+        serde_json::from_str(&self.page("/status")).expect("the status page is JSON")
     }
 }
 
@@ -109,7 +117,8 @@
     }
 }
 
-struct Caller {
+/// A gateway's connection to the service.
+struct Client {
     stream: TcpStream,
     encoder: FrameEncoder,
     decoder: FrameDecoder,
@@ -117,100 +126,106 @@
     epoch: u64,
 }
 
-impl Caller {
-    /// Connects and says who it is; the first word back.
-    fn open(to: SocketAddr, gateway: u16, secret: &str, incarnation: u8) -> (Caller, Frame) {
-        // Seen once in many runs: a reset while connecting, before a word was said. It is tried again; any other
-        // failure, and a reset that goes on, fails the test.
+impl Client {
+    /// Connects and sends an Open frame. Returns the client and the first frame received after that.
+    fn connect(address: SocketAddr, gateway: u16, secret: &str, incarnation: u8) -> (Client, Frame) {
+        // In rare runs a connection was reset while connecting, before any byte was sent. That is tried again up to 3
+        // times; any other failure fails the test.
         let mut resets = 0;
         let stream = loop {
-            match TcpStream::connect(to) {
+            match TcpStream::connect(address) {
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset && resets < 3 => resets += 1,
-                end => break end.expect("connected"),
+                result => break result.expect("the service accepts the connection"),
             }
         };
-        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-        let mut caller = Caller {
+        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("the read timeout is set");
+        let mut client = Client {
             stream,
             encoder: FrameEncoder::new(None),
             decoder: FrameDecoder::new(None),
             buf: vec![],
             epoch: 0,
         };
-        let Ok(Frame::Challenge { nonce: challenge }) = caller.next() else { panic!("a challenge") };
+        let Ok(Frame::Challenge { nonce: challenge }) = client.next_frame() else {
+            panic!("the first frame is not a challenge")
+        };
         let (key, nonce) = (Key::derive(secret.as_bytes()), [gateway as u8 + 1; 16]);
-        caller.encoder = FrameEncoder::new(Some(key.open_key(&challenge)));
-        caller.send(&Frame::Open { gateway, incarnation: [incarnation; 16], nonce });
-        caller.encoder = FrameEncoder::new(Some(key.gateway_key(&challenge, &nonce, gateway)));
-        let before = std::mem::replace(
-            &mut caller.decoder,
+        client.encoder = FrameEncoder::new(Some(key.open_key(&challenge)));
+        client.send(&Frame::Open { gateway, incarnation: [incarnation; 16], nonce });
+        client.encoder = FrameEncoder::new(Some(key.gateway_key(&challenge, &nonce, gateway)));
+        let plain_decoder = std::mem::replace(
+            &mut client.decoder,
             FrameDecoder::new(Some(key.service_key(&challenge, &nonce, gateway))),
         );
-        let first = caller.next().unwrap_or_else(|_| {
-            // A word without a MAC, to one that is not known.
-            caller.decoder = before;
-            caller.next().expect("a word")
+        let first = client.next_frame().unwrap_or_else(|_| {
+            // A gateway that cannot be authenticated gets a frame without a MAC.
+            client.decoder = plain_decoder;
+            client.next_frame().expect("a frame without a MAC")
         });
         if let Frame::Opened { epoch, .. } = first {
-            caller.epoch = epoch;
+            client.epoch = epoch;
         }
-        (caller, first)
+        (client, first)
     }
 
-    fn known(service: &Service, gateway: u16, incarnation: u8) -> Caller {
-        let (caller, first) = Caller::open(service.address, gateway, &format!("new-{gateway}"), incarnation);
+    /// Opens a session with the gateway's own key.
+    fn open_session(service: &Service, gateway: u16, incarnation: u8) -> Client {
+        let (client, first) =
+            Client::connect(service.address, gateway, &format!("new-{gateway}"), incarnation);
         assert!(matches!(first, Frame::Opened { .. }), "{first:?}");
-        caller
+        client
     }
 
-    /// Let in once the service has seen that the one before is gone.
-    fn soon(service: &Service, gateway: u16, incarnation: u8) -> Caller {
-        let end = Instant::now() + Duration::from_secs(10);
+    /// Opens a session, trying again until the service has noticed that the previous connection is closed.
+    fn open_session_eventually(service: &Service, gateway: u16, incarnation: u8) -> Client {
+        let deadline = Instant::now() + Duration::from_secs(10);
         loop {
-            let (caller, word) =
-                Caller::open(service.address, gateway, &format!("new-{gateway}"), incarnation);
-            if matches!(word, Frame::Opened { .. }) {
-                return caller;
+            let (client, first) =
+                Client::connect(service.address, gateway, &format!("new-{gateway}"), incarnation);
+            if matches!(first, Frame::Opened { .. }) {
+                return client;
             }
-            assert!(Instant::now() < end, "it is never let in");
+            assert!(Instant::now() < deadline, "no session within 10 s, last frame: {first:?}");
         }
     }
 
     fn send(&mut self, frame: &Frame) {
         let mut bytes = vec![];
         self.encoder.encode(frame, &mut bytes);
-        self.stream.write_all(&bytes).expect("written");
+        self.stream.write_all(&bytes).expect("the frame is written");
     }
 
-    fn add(&mut self, seq: u64, amount: i64) {
+    fn send_add(&mut self, seq: u64, amount: i64) {
         let name = b"claims".to_vec();
         self.send(&Frame::Add { seq, amount, ttl_ms: 60_000, timeout_us: 5_000_000, name });
     }
 
-    fn next(&mut self) -> Result<Frame, RejectReason> {
+    fn next_frame(&mut self) -> Result<Frame, RejectReason> {
         loop {
             if let Some((frame, n)) = self.decoder.decode(&self.buf)? {
                 self.buf.drain(..n);
                 return Ok(frame);
             }
-            let mut piece = [0; 4096];
-            let n = self.stream.read(&mut piece).expect("in time");
-            assert!(n > 0, "closed");
-            self.buf.extend_from_slice(&piece[..n]);
+            let mut chunk = [0; 4096];
+            let n = self.stream.read(&mut chunk).expect("bytes are received within the read timeout");
+            assert!(n > 0, "the service closed the connection");
+            self.buf.extend_from_slice(&chunk[..n]);
         }
     }
 
-    fn total(&mut self) -> i64 {
-        match self.next() {
+    /// The total in the next frame.
+    fn next_total(&mut self) -> i64 {
+        match self.next_frame() {
             Ok(Frame::Total { total, .. }) => total,
-            other => panic!("{other:?}"),
+            other => panic!("expected a total, received {other:?}"),
         }
     }
 
-    fn closed(&mut self) -> bool {
-        let mut piece = [0; 4096];
+    /// Reads until the connection ends. False if it is still open when the read timeout is over.
+    fn is_closed(&mut self) -> bool {
+        let mut chunk = [0; 4096];
         loop {
-            match self.stream.read(&mut piece) {
+            match self.stream.read(&mut chunk) {
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(e) => return e.kind() == std::io::ErrorKind::ConnectionReset,
@@ -220,158 +235,165 @@
 }
 
 #[test]
-fn a_repeat_after_a_kill_gets_the_first_total() {
+fn a_retry_after_a_kill_gets_the_first_total() {
     let mut service = Service::new("{}");
-    let mut caller = Caller::known(&service, 1, 1);
+    let mut client = Client::open_session(&service, 1, 1);
     for seq in 1..=20 {
-        caller.add(seq, 10);
-        assert_eq!(caller.total(), 10 * seq as i64);
+        client.send_add(seq, 10);
+        assert_eq!(client.next_total(), 10 * seq as i64);
     }
     service.restart();
-    let epoch = caller.epoch;
-    let mut caller = Caller::known(&service, 1, 1);
-    assert_eq!(caller.epoch, epoch, "the same process, the same epoch");
-    caller.add(7, 10);
-    assert_eq!(caller.total(), 70);
-    // Another process of the same gateway counts from one again.
-    drop(caller);
-    let mut caller = Caller::soon(&service, 1, 2);
-    assert!(caller.epoch > epoch);
-    caller.add(1, 5);
-    assert_eq!(caller.total(), 205);
-    assert_eq!(tools::verify(&service.folder.join("data")).expect("readable").faults, [""; 0]);
+    let epoch = client.epoch;
+    let mut client = Client::open_session(&service, 1, 1);
+    assert_eq!(client.epoch, epoch, "a reconnected process keeps its epoch");
+    client.send_add(7, 10);
+    assert_eq!(client.next_total(), 70);
+    // A new process of the same gateway gets a new epoch, and starts its sequences at 1.
+    drop(client);
+    let mut client = Client::open_session_eventually(&service, 1, 2);
+    assert!(client.epoch > epoch);
+    client.send_add(1, 5);
+    assert_eq!(client.next_total(), 205);
+    assert_eq!(tools::verify(&service.folder.join("data")).expect("the files are read").faults, [""; 0]);
 }
 
 #[test]
-fn a_repeat_at_the_same_time_as_the_original() {
+fn a_retry_in_the_same_batch_gets_the_same_total() {
     let service = Service::new(&format!("{{ target_ms: {SLOW_SYNC_MS} }}"));
-    let mut caller = Caller::known(&service, 0, 1);
+    let mut client = Client::open_session(&service, 0, 1);
     for seq in 1..=50 {
-        caller.add(seq, 1);
-        caller.add(seq, 1);
+        client.send_add(seq, 1);
+        client.send_add(seq, 1);
     }
     for seq in 1..=50 {
-        assert_eq!((caller.total(), caller.total()), (seq, seq));
+        assert_eq!((client.next_total(), client.next_total()), (seq, seq));
     }
 }
 
 #[test]
-fn a_wrong_key_an_old_key_and_an_unknown_gateway() {
+fn only_current_and_previous_keys_of_a_gateway_are_valid() {
     let service = Service::new("{}");
-    let word = |gateway, key: &str| Caller::open(service.address, gateway, key, 1).1;
-    assert_eq!(word(1, "wrong"), Frame::Bye { reason: RejectReason::InvalidMac });
-    assert_eq!(word(77, "new-1"), Frame::Bye { reason: RejectReason::InvalidMac });
-    assert_eq!(word(2, "new-1"), Frame::Bye { reason: RejectReason::InvalidMac }, "each has its own");
-    assert!(matches!(word(1, "old-1"), Frame::Opened { .. }), "two are good while they are changed");
+    let first_frame = |gateway, key: &str| Client::connect(service.address, gateway, key, 1).1;
+    let invalid_mac = Frame::Bye { reason: RejectReason::InvalidMac };
+    assert_eq!(first_frame(1, "wrong"), invalid_mac);
+    assert_eq!(first_frame(77, "new-1"), invalid_mac, "gateway 77 is unknown");
+    assert_eq!(first_frame(2, "new-1"), invalid_mac, "the key is that of another gateway");
+    assert!(
+        matches!(first_frame(1, "old-1"), Frame::Opened { .. }),
+        "the previous key stays valid during a key rotation"
+    );
 }
 
 #[test]
-fn two_processes_with_one_number() {
+fn a_gateway_number_is_held_by_one_process() {
     let service = Service::new("{ lease_ms: 60000 }");
-    let mut first = Caller::known(&service, 1, 1);
-    let (_, word) = Caller::open(service.address, 1, "new-1", 2);
-    assert_eq!(word, Frame::Bye { reason: RejectReason::IdentityInUse });
-    first.add(1, 1);
-    assert_eq!(first.total(), 1, "the one that was there goes on");
-    // Its connection ends with it, and the number is free at once.
+    let mut first = Client::open_session(&service, 1, 1);
+    let (_, first_frame) = Client::connect(service.address, 1, "new-1", 2);
+    assert_eq!(first_frame, Frame::Bye { reason: RejectReason::IdentityInUse });
+    first.send_add(1, 1);
+    assert_eq!(first.next_total(), 1, "the process that holds the number is not disturbed");
+    // When its connection is closed, the number is free at once.
     drop(first);
-    let mut second = Caller::soon(&service, 1, 2);
-    second.add(1, 1);
-    assert_eq!(second.total(), 2);
-    // The same process again, as after a broken connection: the old one is closed, not the new one.
-    let mut again = Caller::known(&service, 1, 2);
-    assert!(second.closed());
-    again.add(1, 1);
-    assert_eq!(again.total(), 2, "a repeat over the new connection");
+    let mut second = Client::open_session_eventually(&service, 1, 2);
+    second.send_add(1, 1);
+    assert_eq!(second.next_total(), 2);
+    // The same process reconnects, as after a network failure: its old connection is closed, not the new one.
+    let mut reconnected = Client::open_session(&service, 1, 2);
+    assert!(second.is_closed());
+    reconnected.send_add(1, 1);
+    assert_eq!(reconnected.next_total(), 2, "a retry over the new connection gets the first total");
 }
 
 #[test]
-fn a_silent_process_loses_its_number_after_the_lease_and_is_fenced() {
+fn a_silent_process_loses_its_number_after_the_lease() {
     let service = Service::new("{ lease_ms: 50 }");
-    let mut first = Caller::known(&service, 1, 1);
-    first.add(1, 1);
-    assert_eq!(first.total(), 1);
-    let end = Instant::now() + Duration::from_secs(10);
-    while !matches!(Caller::open(service.address, 1, "new-1", 2).1, Frame::Opened { .. }) {
-        assert!(Instant::now() < end, "it is never let in");
+    let mut first = Client::open_session(&service, 1, 1);
+    first.send_add(1, 1);
+    assert_eq!(first.next_total(), 1);
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while !matches!(Client::connect(service.address, 1, "new-1", 2).1, Frame::Opened { .. }) {
+        assert!(Instant::now() < deadline, "the second process gets no session within 10 s");
     }
-    assert!(first.closed(), "what it held is closed");
+    assert!(first.is_closed(), "the connection of the silent process is still open");
 }
 
 #[test]
-fn frames_replayed_forged_unknown_or_of_another_version_close_the_connection() {
+fn an_invalid_frame_closes_the_connection() {
     let service = Service::new("{}");
-    let mut caller = Caller::known(&service, 1, 1);
+    let mut client = Client::open_session(&service, 1, 1);
     let mut bytes = vec![];
     let add =
         Frame::Add { seq: 1, amount: 1, ttl_ms: 60_000, timeout_us: 5_000_000, name: b"claims".to_vec() };
-    caller.encoder.encode(&add, &mut bytes);
-    caller.stream.write_all(&[bytes.clone(), bytes.clone()].concat()).expect("written");
-    let first = caller.next();
-    // The first may be answered before the second is seen.
-    let word = if matches!(first, Ok(Frame::Total { .. })) { caller.next() } else { first };
-    assert_eq!(word, Ok(Frame::Bye { reason: RejectReason::InvalidMac }));
-    // The same bytes over another connection.
-    let mut caller = Caller::known(&service, 1, 1);
-    caller.stream.write_all(&bytes).expect("written");
-    assert_eq!(caller.next(), Ok(Frame::Bye { reason: RejectReason::InvalidMac }));
-    let mut caller = Caller::known(&service, 1, 1);
+    client.encoder.encode(&add, &mut bytes);
+    // A frame that is replayed on its own connection.
+    client.stream.write_all(&[bytes.clone(), bytes.clone()].concat()).expect("the frames are written");
+    let first = client.next_frame();
+    // The reply to the first frame may be sent before the second one is read.
+    let last_frame = if matches!(first, Ok(Frame::Total { .. })) { client.next_frame() } else { first };
+    assert_eq!(last_frame, Ok(Frame::Bye { reason: RejectReason::InvalidMac }));
+    // The frame replayed on another connection.
+    let mut client = Client::open_session(&service, 1, 1);
+    client.stream.write_all(&bytes).expect("the frame is written");
+    assert_eq!(client.next_frame(), Ok(Frame::Bye { reason: RejectReason::InvalidMac }));
+    // A frame of another version.
+    let mut client = Client::open_session(&service, 1, 1);
     bytes[2] = 9;
-    caller.stream.write_all(&bytes).expect("written");
-    assert_eq!(caller.next(), Ok(Frame::Bye { reason: RejectReason::UnsupportedVersion }));
-    // A kind that only the service sends.
-    let mut caller = Caller::known(&service, 1, 1);
-    caller.send(&Frame::Opened { epoch: 1, window: 1 });
-    assert_eq!(caller.next(), Ok(Frame::Bye { reason: RejectReason::UnknownKind }));
+    client.stream.write_all(&bytes).expect("the frame is written");
+    assert_eq!(client.next_frame(), Ok(Frame::Bye { reason: RejectReason::UnsupportedVersion }));
+    // A frame of a kind that only the service sends.
+    let mut client = Client::open_session(&service, 1, 1);
+    client.send(&Frame::Opened { epoch: 1, window: 1 });
+    assert_eq!(client.next_frame(), Ok(Frame::Bye { reason: RejectReason::UnknownKind }));
     assert!(service.status()["adds"].as_u64() <= Some(1));
 }
 
 #[test]
-fn bad_fields_are_refused_by_name_and_the_connection_goes_on() {
+fn an_invalid_field_rejects_one_request_with_its_reason() {
     let service = Service::new("{}");
-    let mut caller = Caller::known(&service, 1, 1);
+    let mut client = Client::open_session(&service, 1, 1);
     for (seq, ttl_ms) in [(1, 0), (2, 86_400_001)] {
         let name = b"claims".to_vec();
-        caller.send(&Frame::Add { seq, amount: 1, ttl_ms, timeout_us: 5_000_000, name });
-        let word = caller.next();
+        client.send(&Frame::Add { seq, amount: 1, ttl_ms, timeout_us: 5_000_000, name });
+        let reply = client.next_frame();
         assert!(
-            matches!(word, Ok(Frame::Rejected { id, reason: RejectReason::InvalidTtl, .. }) if id == seq),
-            "{word:?}"
+            matches!(reply, Ok(Frame::Rejected { id, reason: RejectReason::InvalidTtl, .. }) if id == seq),
+            "{reply:?}"
         );
     }
-    caller.add(3, i64::MAX);
-    assert!(matches!(caller.next(), Ok(Frame::Rejected { reason: RejectReason::Overflow, .. })));
-    caller.add(4, 2);
-    assert_eq!(caller.total(), 2);
-    caller.send(&Frame::Read { id: 9, name: b"claims".to_vec() });
-    assert!(matches!(caller.next(), Ok(Frame::Total { id: 9, total: 2, .. })));
-    caller.send(&Frame::Read { id: 10, name: b"other".to_vec() });
-    assert!(matches!(caller.next(), Ok(Frame::Total { id: 10, total: 0, .. })));
+    client.send_add(3, i64::MAX);
+    assert!(matches!(client.next_frame(), Ok(Frame::Rejected { reason: RejectReason::Overflow, .. })));
+    client.send_add(4, 2);
+    assert_eq!(client.next_total(), 2);
+    client.send(&Frame::Read { id: 9, name: b"claims".to_vec() });
+    assert!(matches!(client.next_frame(), Ok(Frame::Total { id: 9, total: 2, .. })));
+    client.send(&Frame::Read { id: 10, name: b"other".to_vec() });
+    assert!(matches!(client.next_frame(), Ok(Frame::Total { id: 10, total: 0, .. })));
 }
 
 #[test]
-fn half_a_frame_holds_no_place_for_long() {
+fn connections_with_an_incomplete_frame_are_closed() {
     let service = Service::new(&format!("{{ frame_ms: {SLOW_SYNC_MS}, connections: 3 }}"));
-    let mut halves: Vec<Caller> = (0..3).map(|g| Caller::known(&service, g, 1)).collect();
-    for caller in &mut halves {
-        caller.stream.write_all(&[0, 60, 1]).expect("written");
+    let mut incomplete: Vec<Client> = (0..3).map(|g| Client::open_session(&service, g, 1)).collect();
+    for client in &mut incomplete {
+        client.stream.write_all(&[0, 60, 1]).expect("a part of a frame is written");
     }
-    let mut last = Caller::known(&service, 3, 1);
-    last.add(1, 1);
-    assert_eq!(last.total(), 1);
-    // One that says nothing at all from the start.
-    drop((halves, last));
-    let mut silent = TcpStream::connect(service.address).expect("connected");
-    silent.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-    let mut all = vec![];
-    silent.read_to_end(&mut all).expect("it is closed");
+    // All three connections allowed are in use. A fourth is served once one of them is closed.
+    let mut fourth = Client::open_session(&service, 3, 1);
+    fourth.send_add(1, 1);
+    assert_eq!(fourth.next_total(), 1);
+    // A connection that sends nothing at all is closed too.
+    drop((incomplete, fourth));
+    let mut silent = TcpStream::connect(service.address).expect("the service accepts the connection");
+    silent.set_read_timeout(Some(Duration::from_secs(10))).expect("the read timeout is set");
+    let mut received = vec![];
+    silent.read_to_end(&mut received).expect("the service closes the connection");
 }
 
 #[test]
-fn a_flood_is_refused_at_once_and_starves_nobody() {
+fn a_flood_of_one_gateway_does_not_starve_another() {
     let service = Service::new("{ each: 32 }");
-    let mut flood = Caller::known(&service, 0, 1);
-    let mut stream = flood.stream.try_clone().expect("cloned");
+    let mut flood = Client::open_session(&service, 0, 1);
+    let mut stream = flood.stream.try_clone().expect("the socket is cloned");
     let (mut encoder, n) = (std::mem::take(&mut flood.encoder), 20_000u64);
     let writer = std::thread::spawn(move || {
         let mut bytes = vec![];
@@ -382,96 +404,107 @@
                 &mut bytes,
             );
         }
-        stream.write_all(&bytes).expect("it is slowed, not closed");
+        stream.write_all(&bytes).expect("the connection is slowed down, but not closed");
     });
-    let mut other = Caller::known(&service, 1, 1);
+    let mut other = Client::open_session(&service, 1, 1);
     for seq in 1..=50 {
-        other.add(seq, 1);
-        assert_eq!(other.total(), seq as i64, "every call of the other is served");
+        other.send_add(seq, 1);
+        assert_eq!(other.next_total(), seq as i64, "an add of the other gateway was not counted");
     }
-    let (mut totals, mut refused) = (0, 0);
+    let (mut totals, mut rejections) = (0, 0);
     for _ in 0..n {
-        match flood.next() {
+        match flood.next_frame() {
             Ok(Frame::Total { .. }) => totals += 1,
-            Ok(Frame::Rejected { reason: RejectReason::ResourceExhausted, .. }) => refused += 1,
-            other => panic!("{other:?}"),
+            Ok(Frame::Rejected { reason: RejectReason::ResourceExhausted, .. }) => rejections += 1,
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
-    assert!(totals > 0 && refused > 0, "{totals} totals, {refused} refused");
+    assert!(totals > 0 && rejections > 0, "{totals} totals, {rejections} rejections");
     drop(flood);
-    writer.join().expect("it ends");
+    writer.join().expect("the writing thread ends");
 }
 
 #[test]
-fn it_ends_with_what_waits_answered_and_a_snapshot() {
+fn shutdown_replies_to_queued_requests_and_takes_a_snapshot() {
     let mut service = Service::new(&format!("{{ target_ms: {SLOW_SYNC_MS} }}"));
-    let mut caller = Caller::known(&service, 1, 1);
+    let mut client = Client::open_session(&service, 1, 1);
     for seq in 1..=100 {
-        caller.add(seq, 1);
+        client.send_add(seq, 1);
     }
-    assert_eq!(caller.total(), 1);
-    let pid = i32::try_from(service.child.id()).expect("a pid");
-    let pid = rustix::process::Pid::from_raw(pid).expect("a pid");
-    rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signalled");
-    let mut last = 1;
+    assert_eq!(client.next_total(), 1);
+    let pid = i32::try_from(service.child.id()).expect("the process id fits");
+    let pid = rustix::process::Pid::from_raw(pid).expect("the process id is not 0");
+    rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("SIGTERM is sent");
+    let mut last_total = 1;
     loop {
-        match caller.next() {
-            Ok(Frame::Total { total, .. }) => last = total,
+        match client.next_frame() {
+            Ok(Frame::Total { total, .. }) => last_total = total,
             Ok(Frame::Rejected { reason: RejectReason::ShuttingDown, .. }) => {}
             Ok(Frame::Bye { reason: RejectReason::ShuttingDown }) => break,
-            other => panic!("{other:?}"),
+            other => panic!("unexpected frame: {other:?}"),
         }
     }
-    assert!(service.child.wait().expect("ended").success());
+    assert!(service.child.wait().expect("the daemon has ended").success());
     let data = service.folder.join("data");
-    let state = tools::replay(&data).expect("whole");
-    assert_eq!(state.counters().next().expect("a name").1.total, last, "what was counted was told");
-    let files = tools::verify(&data).expect("readable").files;
+    let state = tools::replay(&data).expect("the files are intact");
+    assert_eq!(
+        state.counters().next().expect("there is a counter").1.total,
+        last_total,
+        "the stored total differs from the last one acknowledged"
+    );
+    let files = tools::verify(&data).expect("the files are read").files;
     assert!(files.iter().any(|(name, _, _)| name.starts_with("snapshot-")), "{files:?}");
 }
 
 #[test]
-fn a_folder_in_use_and_bad_settings_are_told() {
+fn a_folder_in_use_and_invalid_settings_are_reported() {
     let service = Service::new("{}");
-    let run = |text: &str| {
+    let run = |settings: &str| {
         let path = service.folder.join("other.jsonnet");
-        std::fs::write(&path, text).expect("written");
-        let out = Command::new(env!("CARGO_BIN_EXE_frostgauge-counter")).arg("--config").arg(&path).output();
-        let out = out.expect("it runs");
-        (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+        std::fs::write(&path, settings).expect("the settings are written");
+        let output =
+            Command::new(env!("CARGO_BIN_EXE_frostgauge-counter")).arg("--config").arg(&path).output();
+        let output = output.expect("the daemon is run");
+        (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let (code, said) =
+    let (code, stderr) =
         run(&format!("{{ listen: '{LISTEN}', admin: '{ADMIN}', data: 'data', keys: 'keys' }}"));
     assert_eq!(code, Some(2));
-    assert!(said.contains("in use by process") && said.contains(&service.child.id().to_string()), "{said}");
-    let (code, said) =
+    assert!(
+        stderr.contains("in use by process") && stderr.contains(&service.child.id().to_string()),
+        "{stderr}"
+    );
+    let (code, stderr) =
         run("{ listen: '127.0.0.1:1', admin: '127.0.0.1:1', data: 'd', keys: 'none', limits: { batch: 0 } }");
     assert_eq!(code, Some(2));
-    for part in ["admin: is the gateways' address", "limits.batch: is zero", "none: No such file"] {
-        assert!(said.contains(part), "{said}");
+    for fault in ["admin: is the gateways' address", "limits.batch: is zero", "none: No such file"] {
+        assert!(stderr.contains(fault), "{stderr}");
     }
 }
 
 #[test]
-fn staff_pages_have_the_recorded_keys() {
+fn admin_pages_have_the_recorded_keys() {
     let expected_keys = lines_of(include_str!("fixtures/status_keys.txt"));
     let expected_names = lines_of(include_str!("fixtures/metrics.txt"));
     let service = Service::new("{}");
-    let mut caller = Caller::known(&service, 1, 1);
-    caller.add(1, i64::MAX);
-    caller.next().expect("a word");
-    caller.add(2, 1);
-    caller.next().expect("a word");
-    Caller::open(service.address, 2, "wrong", 1);
-    // What a word was about is counted around the time that it is sent, so the last counts may come after it.
-    let end = Instant::now() + Duration::from_secs(10);
+    let mut client = Client::open_session(&service, 1, 1);
+    client.send_add(1, i64::MAX);
+    client.next_frame().expect("a reply");
+    client.send_add(2, 1);
+    client.next_frame().expect("a reply");
+    Client::connect(service.address, 2, "wrong", 1);
+    // Counts are updated around the time that a reply is sent, so the last ones may appear after the reply.
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         let keys = paths_of_members(&service.status());
         let names = names_of_metrics(&service.page("/metrics"));
         if keys == expected_keys && names == expected_names {
             return;
         }
-        assert!(Instant::now() < end, "status {keys:#?}, metrics {names:#?}");
+        assert!(
+            Instant::now() < deadline,
+            "not the recorded keys after 10 s: status page {keys:#?}, metrics {names:#?}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
