--- a/crates/counter-service/src/write_ahead_log/mod.rs
+++ b/crates/counter-service/src/write_ahead_log/mod.rs
@@ -113,8 +113,8 @@
     }
 
     /// Executes operations at the time `time_ms` (milliseconds since 1970), and returns their outcomes, in order, once
-    /// all new records are durable. If the disk is full, new operations are rolled back and rejected with
-    /// [`RejectReason::DiskFull`].
+    /// all new records are durable. If the disk is full, the new operations are rolled back, and every operation that is
+    /// not rejected for another reason is rejected with [`RejectReason::DiskFull`].
     ///
     /// # Errors
     /// The service must stop, and no outcome of these operations may be sent to a gateway.
@@ -156,7 +156,9 @@
                 };
                 Ok(outcomes.into_iter().map(reject).collect())
             }
-            Err(error) => Err(FatalError(format!("{}: {error}", self.storage.location()))),
+            Err(error) => {
+                Err(FatalError(format!("{}: cannot write the log: {error}", self.storage.location())))
+            }
         }
     }
 
@@ -224,9 +226,9 @@
             return Ok(());
         }
         self.watermark_synced = true;
-        self.storage
-            .sync(watermark::FILE_NAME)
-            .map_err(|e| FatalError(format!("{}/{}: {e}", self.storage.location(), watermark::FILE_NAME)))
+        self.storage.sync(watermark::FILE_NAME).map_err(|e| {
+            FatalError(format!("sync of {}/{} failed: {e}", self.storage.location(), watermark::FILE_NAME))
+        })
     }
 
     /// Encodes the present state, to be written by [`write_snapshot`], also from another thread.
@@ -235,8 +237,8 @@
     }
 
     /// To be called once the snapshot of `index` is written and verified. Keeps the two newest snapshots, and removes
-    /// the older ones and the segments that the older of the two covers. So, if the newest snapshot is found damaged,
-    /// the other one and the log after it are still there.
+    /// the older ones and, unless [`Config::keep_old_segments`] is set, the segments that the older of the two covers.
+    /// So, if the newest snapshot is found damaged, the other one and the log after it are still there.
     ///
     /// # Errors
     /// A file cannot be removed. This does no harm but for the space that the file takes.
--- a/crates/counter-service/tests/sockets.rs
+++ b/crates/counter-service/tests/sockets.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_retry_in_the_same_batch_gets_the_same_total() {
+fn a_retry_sent_with_the_original_gets_the_same_total() {
     let service = Service::new(&format!("{{ target_ms: {SLOW_SYNC_MS} }}"));
     let mut client = Client::open_session(&service, 0, 1);
     for seq in 1..=50 {
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn shutdown_replies_to_queued_requests_and_takes_a_snapshot() {
+fn shutdown_answers_the_queue_and_takes_a_snapshot() {
     let mut service = Service::new(&format!("{{ target_ms: {SLOW_SYNC_MS} }}"));
     let mut client = Client::open_session(&service, 1, 1);
     for seq in 1..=100 {
--- a/crates/counter-service/tests/stored_data.rs
+++ b/crates/counter-service/tests/stored_data.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn the_stored_log_has_the_records_after_the_older_snapshot() {
+fn the_stored_log_starts_after_the_older_snapshot() {
     let mut records: Vec<Record> = vec![];
     tools::dump(&fixture("data"), |record| records.push(record.clone())).expect("the log is intact");
     let record =
