--- a/crates/frostgauged/src/main.rs
+++ b/crates/frostgauged/src/main.rs
@@ -28,7 +28,7 @@
     let options = Options::parse();
     frostgauge_gateway::log::init(options.log_json);
     ExitCode::from(match (options.config, options.found) {
-        (Some(config), Some(rules)) => frostgauge_gateway::daemon::found(&config, &rules),
+        (Some(config), Some(rules)) => frostgauge_gateway::daemon::bootstrap(&config, &rules),
         (Some(config), None) => frostgauge_gateway::daemon::run(&config),
         (None, _) => frostgauge_platform_gateway::daemon::run(|name| std::env::var(name).ok()),
     })
--- a/crates/gateway/src/daemon/bootstrap.rs
+++ b/crates/gateway/src/daemon/bootstrap.rs
@@ -7,12 +7,12 @@
 
 /// Writes the first record of a fleet into this voter's folder, from a file of rules. Returns the exit code; errors are
 /// printed on standard error.
-pub fn found(config: &Path, rules: &Path) -> u8 {
+pub fn bootstrap(config: &Path, rules: &Path) -> u8 {
     match write_record(config, rules) {
         Ok(()) => exit::DONE,
         Err(error) => {
             eprintln!("frostgauged: {error}");
-            exit::START
+            exit::START_FAILED
         }
     }
 }
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -5,7 +5,7 @@
 mod signals;
 mod threads;
 
-pub use bootstrap::found;
+pub use bootstrap::bootstrap;
 pub use error::{BootstrapError, StartError};
 
 use crate::admin;
@@ -13,7 +13,7 @@
 use crate::fleet_rules;
 use crate::front::http;
 use crate::oauth::{self, Engine, Handle, Message};
-use crate::peers::{Listener, Peers};
+use crate::peers::{PeerReceiver, PeerSender};
 use async_executor::{Executor, Task};
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
@@ -37,9 +37,9 @@
     /// It failed while running.
     pub const FAILED: u8 = 1;
     /// It could not start: settings, a port in use.
-    pub const START: u8 = 2;
+    pub const START_FAILED: u8 = 2;
     /// It was told to end, and some requests were still in flight at the end of the stated time.
-    pub const CUT: u8 = 3;
+    pub const DRAIN_TIMEOUT: u8 = 3;
 }
 
 /// Runs a gateway until SIGTERM or SIGINT. Returns the exit code; errors are printed on standard error.
@@ -48,14 +48,14 @@
         Ok(loaded) => loaded,
         Err(faults) => {
             eprint!("{}: not usable:\n{faults}", config.display());
-            return exit::START;
+            return exit::START_FAILED;
         }
     };
     match start(loaded, config) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("frostgauged: {error}");
-            exit::START
+            exit::START_FAILED
         }
     }
 }
@@ -64,7 +64,7 @@
 struct Sockets {
     clients: Async<TcpListener>,
     admin: Async<TcpListener>,
-    peers: Option<(Peers, Listener)>,
+    peers: Option<(PeerSender, PeerReceiver)>,
 }
 
 impl Sockets {
@@ -72,7 +72,7 @@
         let gateway = &loaded.file.gateway;
         let clients = bind("gateway.listen", gateway.listen)?;
         let admin = bind("gateway.admin", gateway.admin)?;
-        let peers = Peers::open(loaded, clock).map_err(|source| StartError::PeerSocket {
+        let peers = PeerSender::open(loaded, clock).map_err(|source| StartError::PeerSocket {
             gateway: gateway.number,
             address: loaded.file.fleet.peers[gateway.number],
             source,
@@ -178,6 +178,6 @@
     if open == 0 {
         exit::DONE
     } else {
-        exit::CUT
+        exit::DRAIN_TIMEOUT
     }
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -7,7 +7,7 @@
 use crate::log::Throttle;
 use crate::observe::AnswerStats;
 use crate::reply::GatewayAnswer;
-use crate::upstream::Ended;
+use crate::upstream::AttemptOutcome;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use frostgauge::{ServerId, Status};
@@ -157,14 +157,14 @@
         /// Its attempt.
         attempt: u32,
         /// How.
-        ended: Ended,
+        ended: AttemptOutcome,
     },
     /// A probe ended.
     Probed {
         /// The node.
         server: ServerId,
         /// How.
-        ended: Ended,
+        ended: AttemptOutcome,
     },
     /// A message of another gateway.
     Peer {
@@ -349,10 +349,17 @@
     }
 
     /// Handles an attempt's end; a cancelled attempt has ended already.
-    fn ended(&mut self, now: Micros, call_id: CallId, attempt: u32, ended: Ended, out: &mut Vec<Command>) {
+    fn ended(
+        &mut self,
+        now: Micros,
+        call_id: CallId,
+        attempt: u32,
+        ended: AttemptOutcome,
+        out: &mut Vec<Command>,
+    ) {
         let Some(run) = self.running.remove(&(call_id, attempt)) else { return };
         self.host.attempt_ended(run.server);
-        let Ended { status, response, used, load } = ended;
+        let AttemptOutcome { status, response, quota_use: used, load } = ended;
         let took = now.saturating_sub(run.sent);
         if let Some(open) = self.calls.get_mut(&call_id).filter(|_| status.may_have_run()) {
             open.ran.get_or_insert(run.sent);
@@ -364,7 +371,7 @@
         if let Some(at) = out[from..].iter().position(|c| *c == deliver) {
             out.remove(from + at);
             if let (Some(response), Some(OpenCall { call, .. })) = (response, self.calls.remove(&call_id)) {
-                self.observed.answer("served", "served", now.saturating_sub(call.arrived));
+                self.observed.record("served", "served", now.saturating_sub(call.arrived));
                 let _ = call.reply.try_send(Reply::Server(response));
             }
         }
@@ -418,8 +425,8 @@
         let Some(OpenCall { call, .. }) = self.calls.remove(&call_id) else { return };
         let now = self.clock.now();
         let (kind, reason) = (kind(&answer), answer.reason());
-        self.observed.answer(kind, reason, now.saturating_sub(call.arrived));
-        if let Some(more) = self.throttle.pass(now, reason) {
+        self.observed.record(kind, reason, now.saturating_sub(call.arrived));
+        if let Some(more) = self.throttle.allow(now, reason) {
             tracing::info!(request = call_id, kind, reason, more, "not served");
         }
         let _ = call.reply.try_send(Reply::Gateway(answer));
--- a/crates/gateway/src/fleet_rules/attempt_check.rs
+++ b/crates/gateway/src/fleet_rules/attempt_check.rs
@@ -2,7 +2,7 @@
 
 use super::FleetRules;
 use crate::clock::Micros;
-use crate::upstream::{Ended, NOT_RUN};
+use crate::upstream::{AttemptOutcome, NOT_RUN_FIELD};
 use frostgauge::Status;
 use frostgauge_consensus::RuleSource;
 use std::borrow::Cow;
@@ -52,10 +52,10 @@
     }
 
     /// Records how the attempt ended.
-    pub fn record_end(&self, ended: &Ended) {
+    pub fn record_end(&self, ended: &AttemptOutcome) {
         let Some(asked) = self.authorized_at else { return };
         if let Some(response) = &ended.response {
-            let ready = response.head.one(NOT_RUN) != Some("draining");
+            let ready = response.head.one(NOT_RUN_FIELD) != Some("draining");
             self.rules.task.guard().record_report(&self.node.to_string(), asked, ready);
         }
         let failed = matches!(ended.status, Status::Error | Status::Reset | Status::Timeout);
--- a/crates/gateway/src/fleet_rules/maintenance.rs
+++ b/crates/gateway/src/fleet_rules/maintenance.rs
@@ -2,7 +2,7 @@
 
 use super::FleetRules;
 use crate::oauth::{Handle, HostEvent, Message};
-use crate::upstream::{self, BudgetedPath, BudgetedPool, NOT_RUN};
+use crate::upstream::{self, BudgetedPath, BudgetedPool, NOT_RUN_FIELD};
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
 use async_io::Timer;
@@ -93,7 +93,7 @@
                 let path_to_node = BudgetedPath::probe(&held, node);
                 let ended = upstream::probe(&path_to_node, node, &path, &limits, timeout).await;
                 if let Some(response) = ended.response {
-                    let ready = response.head.one(NOT_RUN) != Some("draining");
+                    let ready = response.head.one(NOT_RUN_FIELD) != Some("draining");
                     rules.task.guard().record_report(&address, now, ready);
                     let _ = answered.try_send(());
                 }
--- a/crates/gateway/src/front/response.rs
+++ b/crates/gateway/src/front/response.rs
@@ -1,7 +1,7 @@
 //! From a reply to the bytes of an HTTP response.
 
 use crate::reply::HttpAnswer;
-use crate::upstream::NOT_RUN;
+use crate::upstream::NOT_RUN_FIELD;
 use frostgauge_net::Response;
 use frostgauge_proto::http::{write_response, Body};
 use frostgauge_proto::orca;
@@ -24,7 +24,7 @@
     let without_content = to_head || status == 204 || status == 304;
     let forwarded = response.head.fields().filter(|(name, _)| {
         let length = *name == "content-length" && !to_head;
-        !length && *name != orca::FIELD && *name != NOT_RUN && !response.head.hop_by_hop(name)
+        !length && *name != orca::FIELD && *name != NOT_RUN_FIELD && !response.head.hop_by_hop(name)
     });
     let body = if without_content { Body::None } else { Body::Whole(&response.body) };
     write_response(out, status, forwarded.chain(connection(close)), body);
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -14,7 +14,7 @@
 
 impl Throttle {
     /// `Some` of the number left out since the last line, if a line may be written now.
-    pub fn pass(&mut self, now: Micros, kind: &'static str) -> Option<u64> {
+    pub fn allow(&mut self, now: Micros, kind: &'static str) -> Option<u64> {
         match self.kinds.get_mut(kind) {
             Some((last, out)) if now < *last + EVERY => {
                 *out += 1;
--- a/crates/gateway/src/oauth/attempt.rs
+++ b/crates/gateway/src/oauth/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{response_limits, Call, Message, OAuthHost};
 use crate::engine::Attempt;
-use crate::upstream::{self, BudgetedPath, Ended, Outgoing};
+use crate::upstream::{self, AttemptOutcome, BudgetedPath, OutgoingRequest};
 use async_executor::Task;
 use frostgauge::Status;
 use frostgauge_net::Pooled;
@@ -29,9 +29,9 @@
         let to_head = call.forward.head.method() == "HEAD";
         let (pool, held) = (self.pool.clone(), self.held.clone());
         let class = loaded.classes.get(call.caller.class);
-        let look =
+        let final_check =
             self.agreed.as_ref().zip(class).map(|(a, class)| a.attempt_check(&grant.subject, class, to));
-        let request = Outgoing { bytes, to_head, look, client: Some(call.client()) };
+        let request = OutgoingRequest { bytes, to_head, final_check, client: Some(call.client()) };
         let paid =
             held.zip(class).map(|(held, class)| BudgetedPath::request(&held, to, &grant.subject, class));
         self.executor.spawn(async move {
@@ -54,6 +54,6 @@
 }
 
 /// The end of an attempt of which nothing was sent.
-fn never_sent() -> Ended {
-    Ended { status: Status::NotSent, response: None, used: None, load: None }
+fn never_sent() -> AttemptOutcome {
+    AttemptOutcome { status: Status::NotSent, response: None, quota_use: None, load: None }
 }
--- a/crates/gateway/src/oauth/counter.rs
+++ b/crates/gateway/src/oauth/counter.rs
@@ -23,7 +23,9 @@
         let inbox = self.handle.inbox();
         let deliver = move |result| -> std::pin::Pin<Box<dyn Future<Output = bool> + Send>> {
             let inbox = inbox.clone();
-            Box::pin(async move { inbox.send(Message::Host(HostEvent::Counted(result))).await.is_ok() })
+            Box::pin(
+                async move { inbox.send(Message::Host(HostEvent::CounterCallEnded(result))).await.is_ok() },
+            )
         };
         Some(Client::start(&self.executor, config, Box::new(deliver)))
     }
--- a/crates/gateway/src/oauth/health_check.rs
+++ b/crates/gateway/src/oauth/health_check.rs
@@ -1,7 +1,7 @@
 //! Requests of the gateway's own to servers: probes, and health checks of servers in unavailable zones.
 
 use super::{response_limits, HostEvent, Message, OAuthHost, MAX_SMALL_RESPONSE_BYTES};
-use crate::upstream::{self, BudgetedPath, BudgetedPool, Ended};
+use crate::upstream::{self, AttemptOutcome, BudgetedPath, BudgetedPool};
 use frostgauge::ServerId;
 use frostgauge_net::{Pool, Pooled};
 use frostgauge_proto::http::Limits;
@@ -40,8 +40,8 @@
                 let began = Instant::now();
                 let timeout = Duration::from_millis(l.connect_ms);
                 let status = get_from_server(held, &pool, to, &path, &limits, timeout).await.status;
-                let took = crate::clock::micros(began.elapsed());
-                let _ = inbox.send(Message::Host(HostEvent::Checked { server, status, took })).await;
+                let elapsed = crate::clock::micros(began.elapsed());
+                let _ = inbox.send(Message::Host(HostEvent::Checked { server, status, elapsed })).await;
             })
             .detach();
     }
@@ -55,7 +55,7 @@
     path: &str,
     limits: &Limits,
     timeout: Duration,
-) -> Ended {
+) -> AttemptOutcome {
     match held {
         Some(held) => upstream::probe(&BudgetedPath::probe(&held, to), to, path, limits, timeout).await,
         None => upstream::probe(&Pooled(pool, to), to, path, limits, timeout).await,
--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -10,7 +10,7 @@
 use crate::core::{CallMetadata, Command, Core, Input};
 use crate::engine::{self, Attempt, EngineContext, Host};
 use crate::fleet_rules::{FleetRules, RulesAdmission};
-use crate::peers::Peers;
+use crate::peers::PeerSender;
 use crate::upstream::{BudgetedPool, Forward};
 use async_channel::Sender;
 use async_executor::{Executor, Task};
@@ -73,7 +73,7 @@
         /// How it ended.
         status: Status,
         /// Time since it was sent, µs.
-        took: Micros,
+        elapsed: Micros,
     },
     /// An administrator drains or restores a zone.
     Drain {
@@ -85,7 +85,7 @@
         reply: Sender<bool>,
     },
     /// A call of the shared counter ended.
-    Counted(CallResult),
+    CounterCallEnded(CallResult),
     /// The servers that the fleet's agreed rules allow have changed.
     FleetRulesChanged,
     /// New settings, already checked against the old ones.
@@ -95,7 +95,7 @@
 }
 
 /// The settings as they are now.
-pub type Shared = Arc<RwLock<Arc<Loaded>>>;
+pub type SharedSettings = Arc<RwLock<Arc<Loaded>>>;
 
 impl Handle {
     /// The settings as they are now.
@@ -122,7 +122,7 @@
     addresses: BTreeMap<ServerId, SocketAddr>,
     /// Attempts in flight, by server.
     in_flight: BTreeMap<ServerId, usize>,
-    peers: Option<Peers>,
+    peers: Option<PeerSender>,
     counter: Option<Client>,
     agreed: Option<FleetRules>,
     /// Connections to servers under the fleet's budgets, in place of the pool's.
@@ -143,7 +143,7 @@
     seed: u64,
     clock: Clock,
     executor: Arc<Executor<'static>>,
-    peers: Option<Peers>,
+    peers: Option<PeerSender>,
     rules: Option<(FleetRules, Arc<BudgetedPool>)>,
 ) -> Result<(Engine, Handle), frostgauge::SettingsError> {
     let now = clock.now();
@@ -184,7 +184,7 @@
     type Caller = Caller;
     type Forward = Forward;
     type Event = HostEvent;
-    type Shared = Shared;
+    type Shared = SharedSettings;
 
     fn register_call(&mut self, call: &Call) -> Input {
         let token = call.caller.token.name(&self.key);
@@ -212,8 +212,8 @@
             HostEvent::Introspected { flight, answer } => {
                 context.core.handle(now, Input::Introspected { flight, answer }, out);
             }
-            HostEvent::Checked { server, status, took } => {
-                context.core.handle(now, Input::Checked { server, status, took }, out);
+            HostEvent::Checked { server, status, elapsed } => {
+                context.core.handle(now, Input::Checked { server, status, took: elapsed }, out);
             }
             HostEvent::Drain { zone, drained, reply } => {
                 let known = self.handle.loaded().file.zones.iter().position(|z| *z == zone);
@@ -223,7 +223,7 @@
                 }
                 let _ = reply.try_send(known.is_some());
             }
-            HostEvent::Counted(CallResult { counter, total, unsure, elapsed: took, .. }) => {
+            HostEvent::CounterCallEnded(CallResult { counter, total, unsure, elapsed: took, .. }) => {
                 let counter = CounterId(counter);
                 context.core.handle(now, Input::CounterReplied { counter, total, unsure, took }, out);
             }
@@ -254,7 +254,7 @@
             Command::Zone(change) => self.report_zone_change(&change),
             Command::SendToPeer { to, data } => {
                 if let Some(peers) = &mut self.peers {
-                    peers.tell(to, &data);
+                    peers.send(to, &data);
                 }
             }
             Command::AddToCounter { counter, amount, ttl } => {
@@ -337,7 +337,7 @@
         }
         wanted.push(loaded.introspection().address);
         if let Some(held) = &self.held {
-            held.keep(&wanted);
+            held.close_idle_except(&wanted);
         }
         self.pool.keep(&wanted);
     }
--- a/crates/gateway/src/observe.rs
+++ b/crates/gateway/src/observe.rs
@@ -17,7 +17,7 @@
 
 impl AnswerStats {
     /// One final answer: its kind (`served`, `refused`, `failed`, `denied`), its reason, its latency.
-    pub fn answer(&mut self, kind: &'static str, reason: &'static str, took: Micros) {
+    pub fn record(&mut self, kind: &'static str, reason: &'static str, latency: Micros) {
         metrics::counter!("frostgauge_answers", "kind" => kind, "reason" => reason).increment(1);
         *self.reasons.entry(reason).or_default() += 1;
         if !self.kinds.contains_key(kind) {
@@ -26,7 +26,7 @@
             }
         }
         if let Some(histogram) = self.kinds.get_mut(kind) {
-            histogram.saturating_record(took.max(1));
+            histogram.saturating_record(latency.max(1));
         }
     }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -14,7 +14,7 @@
 
 /// The sending side.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerSender {
     socket: Arc<Async<UdpSocket>>,
     addresses: Vec<SocketAddr>,
     sender: Sender,
@@ -40,12 +40,12 @@
     }
 }
 
-impl Peers {
+impl PeerSender {
     /// Opens the socket of the settings, if gateways talk to each other.
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub fn open(loaded: &Loaded, clock: Clock) -> io::Result<Option<(Peers, Listener)>> {
+    pub fn open(loaded: &Loaded, clock: Clock) -> io::Result<Option<(PeerSender, PeerReceiver)>> {
         let (Some(secret), me) = (&loaded.peer_secret, loaded.file.gateway.number) else { return Ok(None) };
         let addresses = loaded.file.fleet.peers.clone();
         let socket = Arc::new(Async::<UdpSocket>::bind(addresses[me])?);
@@ -55,12 +55,12 @@
         let per_s = loaded.file.fleet.peer_in_per_s;
         let budget = Budget { per_s, left: per_s, at: clock.now() };
         let sender = Sender::new(key, number, clock.now());
-        let listener = Listener { socket: socket.clone(), receiver, budget, clock };
-        Ok(Some((Peers { socket, addresses, sender }, listener)))
+        let listener = PeerReceiver { socket: socket.clone(), receiver, budget, clock };
+        Ok(Some((PeerSender { socket, addresses, sender }, listener)))
     }
 
     /// Sends a message; one that the socket does not take at once is lost, as any may be.
-    pub fn tell(&mut self, to: usize, message: &[u8]) {
+    pub fn send(&mut self, to: usize, message: &[u8]) {
         if let Some(address) = self.addresses.get(to) {
             let datagram = self.sender.seal(message);
             let sent = self.socket.get_ref().send_to(&datagram, address).is_ok();
@@ -71,14 +71,14 @@
 
 /// The receiving side.
 #[derive(Debug)]
-pub struct Listener {
+pub struct PeerReceiver {
     socket: Arc<Async<UdpSocket>>,
     receiver: Receiver,
     budget: Budget,
     clock: Clock,
 }
 
-impl Listener {
+impl PeerReceiver {
     /// Takes datagrams until the engine is gone; what is not to be trusted is counted and dropped.
     pub async fn run(mut self, inbox: async_channel::Sender<Message>) {
         let mut buf = [0; BUFFER];
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -12,7 +12,7 @@
 
 /// The response field by which a node proves that a request never ran: `full` or `draining`, with 503. A 503
 /// without it proves nothing.
-pub const NOT_RUN: &str = "frostgauge-not-run";
+pub const NOT_RUN_FIELD: &str = "frostgauge-not-run";
 
 /// A client's request, as it is passed on.
 #[derive(Clone, Debug)]
@@ -70,21 +70,21 @@
 
 /// How an attempt ended, as the decisions take it.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptOutcome {
     /// The status.
     pub status: Status,
     /// The response, when there is one.
     pub response: Option<Box<Response>>,
     /// The insurer's use of its rate.
-    pub used: Option<f64>,
+    pub quota_use: Option<f64>,
     /// The node's load.
     pub load: Option<Load>,
 }
 
 /// What an end proves. A connection that broke, a bare 503 and a response that makes no sense prove nothing:
 /// the request may have run.
-fn ended(end: End) -> Ended {
-    let bare = |status| Ended { status, response: None, used: None, load: None };
+fn ended(end: End) -> AttemptOutcome {
+    let bare = |status| AttemptOutcome { status, response: None, quota_use: None, load: None };
     let response = match end {
         End::Answered(response) => response,
         End::NotConnected => return bare(Status::ConnectFailed),
@@ -92,7 +92,7 @@
         End::Broken => return bare(Status::Reset),
         End::TimedOut => return bare(Status::Timeout),
     };
-    let proof = matches!(response.head.one(NOT_RUN), Some("full" | "draining"));
+    let proof = matches!(response.head.one(NOT_RUN_FIELD), Some("full" | "draining"));
     let status = match response.head.status() {
         503 if proof => Status::Rejected,
         500.. => Status::Error,
@@ -106,18 +106,18 @@
         latency_ms: r.latency_ms,
     });
     let load = load.filter(|l| *l != Load::default());
-    Ended { status, response: Some(response), used: report.and_then(|r| r.quota_use), load }
+    AttemptOutcome { status, response: Some(response), quota_use: report.and_then(|r| r.quota_use), load }
 }
 
 /// A request as it goes to a node.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// It is a HEAD: the response has no content.
     pub to_head: bool,
     /// The last look at the fleet's rules, right before the bytes go.
-    pub look: Option<AttemptCheck>,
+    pub final_check: Option<AttemptCheck>,
     /// Whose it is; nothing of it goes out once that client has gone.
     pub client: Option<Client>,
 }
@@ -125,21 +125,21 @@
 /// Makes an attempt.
 pub async fn attempt<W: Way>(
     way: &W,
-    mut request: Outgoing,
+    mut request: OutgoingRequest,
     limits: &Limits,
     connect: Duration,
     deadline: Instant,
-) -> Ended {
-    let Outgoing { bytes, to_head, look, client } = &mut request;
-    let last = || match look {
+) -> AttemptOutcome {
+    let OutgoingRequest { bytes, to_head, final_check, client } = &mut request;
+    let last = || match final_check {
         // Guards against a connection that comes up late, after its client has gone.
         _ if client.as_ref().is_some_and(Client::has_gone) => None,
-        Some(look) => look.stamp(bytes),
+        Some(check) => check.stamp(bytes),
         None => Some(Cow::Borrowed(&bytes[..])),
     };
     let ended = ended(exchange_by(way, last, *to_head, limits, connect, deadline).await);
-    if let Some(look) = &request.look {
-        look.record_end(&ended);
+    if let Some(check) = &request.final_check {
+        check.record_end(&ended);
     }
     ended
 }
@@ -151,7 +151,7 @@
     path: &str,
     limits: &Limits,
     patience: Duration,
-) -> Ended {
+) -> AttemptOutcome {
     let mut request = Vec::new();
     let host = to.to_string();
     let fields = [("host", host.as_bytes())];
--- a/crates/gateway/src/upstream/budgeted_pool/mod.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/mod.rs
@@ -233,11 +233,11 @@
     /// Closes all idle connections, for good: those in use are closed as they come back.
     pub fn start_leaving(self: &Arc<Self>) {
         self.rules.guard().start_leaving();
-        self.keep(&[]);
+        self.close_idle_except(&[]);
     }
 
     /// Closes idle connections to addresses that are not among these.
-    pub fn keep(self: &Arc<Self>, wanted: &[SocketAddr]) {
+    pub fn close_idle_except(self: &Arc<Self>, wanted: &[SocketAddr]) {
         let mut gone = vec![];
         self.state().idle.retain(|to, list| {
             let keep = wanted.contains(to);
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -3,7 +3,7 @@
 mod attempt;
 mod budgeted_pool;
 
-pub use attempt::{attempt, probe, Ended, Forward, Outgoing, NOT_RUN};
+pub use attempt::{attempt, probe, AttemptOutcome, Forward, OutgoingRequest, NOT_RUN_FIELD};
 pub use budgeted_pool::{
     BudgetedPath, BudgetedPool, HeldPermit, PermittedConnection, PoolBounds, RulesAccess,
 };
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -9,7 +9,7 @@
 use frostgauge_gateway::clock::Clock;
 use frostgauge_gateway::engine::{Client, Reply};
 use frostgauge_gateway::oauth::{engine, Call, Caller, HostEvent, Message};
-use frostgauge_gateway::upstream::{attempt, Forward, Outgoing};
+use frostgauge_gateway::upstream::{attempt, Forward, OutgoingRequest};
 use frostgauge_net::{Pool, Pooled};
 use frostgauge_proto::bearer::Token;
 use frostgauge_proto::http::{Head, Limits};
@@ -58,10 +58,10 @@
     for there in [false, true] {
         let (reply, answer) = async_channel::bounded(1);
         let answer = Some(answer).filter(|_| there);
-        let request = Outgoing {
+        let request = OutgoingRequest {
             bytes: b"GET / HTTP/1.1\r\nhost: a\r\n\r\n".to_vec(),
             to_head: false,
-            look: None,
+            final_check: None,
             client: Some(Client::of(&reply)),
         };
         let soon = Instant::now() + if there { Duration::from_millis(50) } else { LONG };
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -8,7 +8,7 @@
 use frostgauge_consensus::RuleSource;
 use frostgauge_gateway::fleet_rules::{stamp, RULES_FIELD};
 use frostgauge_gateway::reply::{Failed, GatewayAnswer};
-use frostgauge_gateway::upstream::{Forward, NOT_RUN};
+use frostgauge_gateway::upstream::{Forward, NOT_RUN_FIELD};
 use frostgauge_proto::bearer::Denied;
 use frostgauge_proto::http::Head;
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
         ("post-without-content", forwarded(empty_post, b"", None)),
     ];
     assert_recorded(include_str!("fixtures/forwarded.txt"), &encoded);
-    assert_eq!(NOT_RUN, "frostgauge-not-run");
+    assert_eq!(NOT_RUN_FIELD, "frostgauge-not-run");
 }
 
 fn finals() -> Vec<GatewayAnswer> {
--- a/crates/platform-gateway/src/daemon.rs
+++ b/crates/platform-gateway/src/daemon.rs
@@ -122,7 +122,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("frostgauged: {error}");
-            exit::START
+            exit::START_FAILED
         }
     }
 }
@@ -186,7 +186,7 @@
     if open == 0 {
         exit::DONE
     } else {
-        exit::CUT
+        exit::DRAIN_TIMEOUT
     }
 }
 
--- a/crates/platform-gateway/src/host.rs
+++ b/crates/platform-gateway/src/host.rs
@@ -11,7 +11,7 @@
 use frostgauge_gateway::clock::{Clock, Micros};
 use frostgauge_gateway::core::{CallMetadata, Command, Core, Input};
 use frostgauge_gateway::engine::{self, Attempt, EngineContext, Host, Message};
-use frostgauge_gateway::upstream::Ended;
+use frostgauge_gateway::upstream::AttemptOutcome;
 use frostgauge_platform_protocol::config::Config;
 use frostgauge_platform_protocol::request::Request;
 use frostgauge_platform_protocol::settings::Site;
@@ -200,7 +200,8 @@
         self.servers.sent(server);
         let Some((to, call)) = self.servers.address(server).zip(call) else {
             // Neither can be missing while the core sends; if one were, the request has not run.
-            let ended = Ended { status: Status::NotSent, response: None, used: None, load: None };
+            let ended =
+                AttemptOutcome { status: Status::NotSent, response: None, quota_use: None, load: None };
             return self.executor.spawn(async move {
                 let _ = inbox.send(Message::Ended { call_id, attempt, ended }).await;
             });
--- a/crates/platform-gateway/src/upstream.rs
+++ b/crates/platform-gateway/src/upstream.rs
@@ -3,7 +3,7 @@
 use crate::pool::{ConnectionPool, PooledConnection};
 use async_io::Timer;
 use frostgauge::{Load, ServerId, Status};
-use frostgauge_gateway::upstream::Ended;
+use frostgauge_gateway::upstream::AttemptOutcome;
 use frostgauge_net::{exhausted, receive, until, Response, Timed};
 use frostgauge_platform_protocol::{answer, request, settings::Site};
 use frostgauge_proto::http::{write_request, Body, Head, Limits};
@@ -78,8 +78,8 @@
     }
 }
 
-fn bare(status: Status) -> Ended {
-    Ended { status, response: None, used: None, load: None }
+fn bare(status: Status) -> AttemptOutcome {
+    AttemptOutcome { status, response: None, quota_use: None, load: None }
 }
 
 /// Makes an attempt. If its connection ends before the last byte is written it has not run; after that it may have. The
@@ -92,7 +92,7 @@
     request: impl Fn(Duration) -> Vec<u8>,
     times: Times,
     gone: impl Future<Output = ()>,
-) -> Ended {
+) -> AttemptOutcome {
     match exchange(pool, target, request, times, gone).await {
         Ok((response, connection)) => {
             if let Some(connection) = connection {
@@ -104,10 +104,10 @@
     }
 }
 
-fn ended(site: &Site, response: Response) -> Ended {
+fn ended(site: &Site, response: Response) -> AttemptOutcome {
     let head = &response.head;
     let (status, used, load) = (answer::status(head), answer::usage(head), answer::load_report(site, head));
-    Ended { status, response: Some(Box::new(response)), used, load }
+    AttemptOutcome { status, response: Some(Box::new(response)), quota_use: used, load }
 }
 
 /// A response, and the connection it came on where that may go on.
@@ -218,7 +218,7 @@
     site: &Site,
     (server, to): (ServerId, SocketAddr),
     times: Times,
-) -> Ended {
+) -> AttemptOutcome {
     let reports = !site.columns.is_empty();
     let path = if reports { "/-/load" } else { "/-/healthy" };
     let mut request = Vec::new();
--- a/crates/platform-gateway/tests/attempts.rs
+++ b/crates/platform-gateway/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 use async_io::{block_on, Async};
 use frostgauge::{ServerId, Status};
-use frostgauge_gateway::upstream::Ended;
+use frostgauge_gateway::upstream::AttemptOutcome;
 use frostgauge_platform_gateway::pool::ConnectionPool;
 use frostgauge_platform_gateway::upstream::{attempt, probe, Times};
 use frostgauge_platform_protocol::settings::{self, Column, Site};
@@ -59,7 +59,7 @@
 }
 
 /// Moves the attempt on until its server's side has bytes; it stands before its last byte then.
-fn until_first_bytes(attempt: Pin<&mut impl Future<Output = Ended>>, theirs: &TcpStream) {
+fn until_first_bytes(attempt: Pin<&mut impl Future<Output = AttemptOutcome>>, theirs: &TcpStream) {
     let mut attempt = attempt;
     let end = Instant::now() + PATIENCE;
     loop {
@@ -221,7 +221,7 @@
 }
 
 /// Ends as never run at the next look, and not one byte more comes to the server.
-fn called_off(running: Pin<&mut impl Future<Output = Ended>>, theirs: &mut TcpStream, had: usize) {
+fn called_off(running: Pin<&mut impl Future<Output = AttemptOutcome>>, theirs: &mut TcpStream, had: usize) {
     let mut running = running;
     let ended = block_on(poll_once(running.as_mut())).expect("ended");
     assert_eq!(ended.status, Status::NotSent, "never run, and the server is not to blame");
--- a/crates/system-test/src/roles.rs
+++ b/crates/system-test/src/roles.rs
@@ -153,7 +153,7 @@
             end_with_parent();
             return frostgauge_gateway::daemon::run(config);
         }
-        Role::Found { config, rules } => return frostgauge_gateway::daemon::found(config, rules),
+        Role::Found { config, rules } => return frostgauge_gateway::daemon::bootstrap(config, rules),
         Role::CounterDaemon { config, no_log, stretch_us } => {
             frostgauge_counter_service::log(true);
             end_with_parent();
