--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateways over UDP.
+//! Authenticated datagrams between gateways over UDP.
 
 use crate::clock::{Clock, Micros};
 use crate::oauth::Message;
@@ -9,57 +9,64 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// More bytes than a datagram may have, so that a longer one is seen to be longer.
-const BUFFER: usize = 512;
+/// Size of the receive buffer. It exceeds the longest valid datagram, so that an oversized one arrives with its
+/// excess bytes and is rejected as malformed, instead of being truncated to a valid length.
+const RECEIVE_BUFFER_BYTES: usize = 512;
 
-/// The sending side.
+/// Sends this gateway's datagrams to the other gateways.
 #[derive(Debug)]
 pub struct PeerSender {
     socket: Arc<Async<UdpSocket>>,
+    /// Addresses of all gateways, by gateway number.
     addresses: Vec<SocketAddr>,
     sender: Sender,
 }
 
-/// Lets in so many a second, a second's worth at once. What is over is dropped: a flood of datagrams must
-/// not take the decisions' time.
+/// Token bucket for received datagrams; its burst is the datagrams of one second, and at least one. Datagrams over the
+/// rate are dropped, because a flood of them must not take the engine's time from requests.
 #[derive(Debug)]
-struct Budget {
+struct RateLimit {
     per_s: f64,
-    left: f64,
-    at: Micros,
+    available: f64,
+    refilled_at: Micros,
 }
 
-impl Budget {
-    fn take(&mut self, now: Micros) -> bool {
-        let filled = self.left + now.saturating_sub(self.at) as f64 / 1e6 * self.per_s;
-        self.left = filled.min(self.per_s.max(1.0));
-        self.at = now;
-        let ok = self.left >= 1.0;
-        self.left -= f64::from(u8::from(ok));
-        ok
+impl RateLimit {
+    /// Consumes one datagram's token; false if there is none.
+    fn try_acquire(&mut self, now: Micros) -> bool {
+        let refilled = self.available + now.saturating_sub(self.refilled_at) as f64 / 1e6 * self.per_s;
+        self.available = refilled.min(self.per_s.max(1.0));
+        self.refilled_at = now;
+        let allowed = self.available >= 1.0;
+        self.available -= f64::from(u8::from(allowed));
+        allowed
     }
 }
 
 impl PeerSender {
-    /// Opens the socket of the settings, if gateways talk to each other.
+    /// Binds this gateway's address in `fleet.peers`; `None` if the settings have no secret for datagrams between
+    /// gateways.
     ///
     /// # Errors
     /// The address cannot be bound.
     pub fn open(loaded: &Loaded, clock: Clock) -> io::Result<Option<(PeerSender, PeerReceiver)>> {
-        let (Some(secret), me) = (&loaded.peer_secret, loaded.file.gateway.number) else { return Ok(None) };
+        let (Some(secret), self_id) = (&loaded.peer_secret, loaded.file.gateway.number) else {
+            return Ok(None);
+        };
         let addresses = loaded.file.fleet.peers.clone();
-        let socket = Arc::new(Async::<UdpSocket>::bind(addresses[me])?);
+        let socket = Arc::new(Async::<UdpSocket>::bind(addresses[self_id])?);
         let key = Key::derive(secret.expose());
-        let number = u16::try_from(me).unwrap_or(u16::MAX);
+        let number = u16::try_from(self_id).unwrap_or(u16::MAX);
         let receiver = Receiver::new(key.clone(), number, addresses.len());
         let per_s = loaded.file.fleet.peer_in_per_s;
-        let budget = Budget { per_s, left: per_s, at: clock.now() };
+        let rate_limit = RateLimit { per_s, available: per_s, refilled_at: clock.now() };
         let sender = Sender::new(key, number, clock.now());
-        let listener = PeerReceiver { socket: socket.clone(), receiver, budget, clock };
-        Ok(Some((PeerSender { socket, addresses, sender }, listener)))
+        let peer_receiver = PeerReceiver { socket: socket.clone(), receiver, rate_limit, clock };
+        Ok(Some((PeerSender { socket, addresses, sender }, peer_receiver)))
     }
 
-    /// Sends a message; one that the socket does not take at once is lost, as any may be.
+    /// Sends a message to a gateway without waiting. If the socket cannot send it now, the message is lost and counted;
+    /// receivers have to allow for lost datagrams anyway.
     pub fn send(&mut self, to: usize, message: &[u8]) {
         if let Some(address) = self.addresses.get(to) {
             let datagram = self.sender.seal(message);
@@ -69,30 +76,31 @@
     }
 }
 
-/// The receiving side.
+/// Receives the other gateways' datagrams and passes their messages to the engine.
 #[derive(Debug)]
 pub struct PeerReceiver {
     socket: Arc<Async<UdpSocket>>,
     receiver: Receiver,
-    budget: Budget,
+    rate_limit: RateLimit,
     clock: Clock,
 }
 
 impl PeerReceiver {
-    /// Takes datagrams until the engine is gone; what is not to be trusted is counted and dropped.
+    /// Receives datagrams until the engine has ended. Those that are over the rate limit or fail authentication are
+    /// counted by reason and dropped.
     pub async fn run(mut self, inbox: async_channel::Sender<Message>) {
-        let mut buf = [0; BUFFER];
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         loop {
-            let n = match self.socket.recv_from(&mut buf).await {
-                Ok((n, _)) => n,
-                // A peer's closed port shows up here; it says nothing about this socket.
+            let length = match self.socket.recv_from(&mut buffer).await {
+                Ok((length, _)) => length,
+                // ICMP reports that a peer's port is closed arrive as errors here; this socket still works.
                 Err(_) => {
                     futures_lite::future::yield_now().await;
                     continue;
                 }
             };
-            let dropped = if self.budget.take(self.clock.now()) {
-                match self.receiver.open(&buf[..n]) {
+            let dropped = if self.rate_limit.try_acquire(self.clock.now()) {
+                match self.receiver.open(&buffer[..length]) {
                     Ok((from, data)) => {
                         if inbox.send(Message::Peer { from, data: data.to_vec() }).await.is_err() {
                             return;
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt at a node, and a probe: what goes out, and what the end says.
+//! Attempts at servers and probes of them: the bytes of the request, and the outcome that the end of the exchange proves.
 
 use crate::engine::Client;
 use crate::fleet_rules::AttemptCheck;
@@ -10,91 +10,107 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// The response field by which a node proves that a request never ran: `full` or `draining`, with 503. A 503
-/// without it proves nothing.
+/// The response field by which a server states that it did not run a request: `full` or `draining`, with status 503. A
+/// 503 without the field proves nothing, because the request may have run.
 pub const NOT_RUN_FIELD: &str = "frostgauge-not-run";
 
-/// A client's request, as it is passed on.
+/// A client's request to be forwarded to a server.
 #[derive(Clone, Debug)]
 pub struct Forward {
-    /// Its head.
+    /// The client's request head.
     pub head: Head,
-    /// Path and query.
+    /// Path and query of the request target.
     pub target: String,
-    /// Its content.
+    /// The request's content.
     pub body: Vec<u8>,
-    /// The client's address.
+    /// The client's address, appended to the `Forwarded` field; `None` leaves the field as it came.
     pub client: Option<IpAddr>,
 }
 
-/// Fields that the gateway sets itself, or that are not a node's business: the token above all.
-fn own(name: &str) -> bool {
+/// Whether the gateway sets a request field itself or withholds it from servers; a client's token above all is not
+/// forwarded.
+fn is_replaced(name: &str) -> bool {
     name.starts_with("frostgauge-")
         || ["host", "content-length", "authorization", "expect", "forwarded", "traceparent"].contains(&name)
 }
 
 impl Forward {
-    /// The request's bytes for a node.
-    pub fn bytes(&self, to: SocketAddr, insurer: &str, number: &str, attempt: u32, span: u64) -> Vec<u8> {
+    /// The bytes of the request for a server: `request_number` is unique over the fleet, `attempt` counts the attempts
+    /// of the request, and `span_id` identifies this attempt in the trace.
+    pub fn bytes(
+        &self,
+        to: SocketAddr,
+        tenant: &str,
+        request_number: &str,
+        attempt: u32,
+        span_id: u64,
+    ) -> Vec<u8> {
         let host = to.to_string();
         let attempt = attempt.to_string();
-        let hop = trace::hop(self.head.one("traceparent"), u128::from(span) << 32 | 1, span);
-        let mut via: String = self.head.all("forwarded").fold(String::new(), |mut all, value| {
-            all += &String::from_utf8_lossy(value);
-            all += ", ";
-            all
+        let traceparent = trace::hop(self.head.one("traceparent"), u128::from(span_id) << 32 | 1, span_id);
+        let mut forwarded: String = self.head.all("forwarded").fold(String::new(), |mut list, value| {
+            list += &String::from_utf8_lossy(value);
+            list += ", ";
+            list
         });
         if let Some(client) = self.client {
-            via += &trace::forwarded(client);
+            forwarded += &trace::forwarded(client);
         } else {
-            via.truncate(via.len().saturating_sub(2));
+            forwarded.truncate(forwarded.len().saturating_sub(2));
         }
-        let mut set: Vec<(&str, &[u8])> = vec![
+        let mut own_fields: Vec<(&str, &[u8])> = vec![
             ("host", host.as_bytes()),
-            ("traceparent", hop.as_bytes()),
-            ("frostgauge-insurer", insurer.as_bytes()),
-            ("frostgauge-request", number.as_bytes()),
+            ("traceparent", traceparent.as_bytes()),
+            ("frostgauge-insurer", tenant.as_bytes()),
+            ("frostgauge-request", request_number.as_bytes()),
             ("frostgauge-attempt", attempt.as_bytes()),
         ];
-        if !via.is_empty() {
-            set.push(("forwarded", via.as_bytes()));
+        if !forwarded.is_empty() {
+            own_fields.push(("forwarded", forwarded.as_bytes()));
         }
-        let passed = self.head.fields().filter(|(name, _)| !own(name) && !self.head.hop_by_hop(name));
+        let client_fields =
+            self.head.fields().filter(|(name, _)| !is_replaced(name) && !self.head.hop_by_hop(name));
         let mut out = Vec::with_capacity(512 + self.body.len());
-        let none = self.body.is_empty() && matches!(self.head.method(), "GET" | "HEAD" | "DELETE");
-        let body = if none { Body::None } else { Body::Whole(&self.body) };
-        write_request(&mut out, self.head.method(), &self.target, set.into_iter().chain(passed), body);
+        let without_content = self.body.is_empty() && matches!(self.head.method(), "GET" | "HEAD" | "DELETE");
+        let body = if without_content { Body::None } else { Body::Whole(&self.body) };
+        write_request(
+            &mut out,
+            self.head.method(),
+            &self.target,
+            own_fields.into_iter().chain(client_fields),
+            body,
+        );
         out
     }
 }
 
-/// How an attempt ended, as the decisions take it.
+/// How an attempt ended, for the core.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// The status.
+    /// Whether the request succeeded, failed, was rejected or was not sent.
     pub status: Status,
-    /// The response, when there is one.
+    /// The response; `None` if none was received completely.
     pub response: Option<Box<Response>>,
-    /// The insurer's use of its rate.
+    /// The tenant's use of its quota, as the server reported it.
     pub quota_use: Option<f64>,
-    /// The node's load.
+    /// The server's load, as the server reported it.
     pub load: Option<Load>,
 }
 
-/// What an end proves. A connection that broke, a bare 503 and a response that makes no sense prove nothing:
-/// the request may have run.
-fn ended(end: End) -> AttemptOutcome {
-    let bare = |status| AttemptOutcome { status, response: None, quota_use: None, load: None };
+/// The outcome that the end of an exchange proves. After a broken connection, a malformed response or a 503 without
+/// [`NOT_RUN_FIELD`] the request may have run.
+fn outcome_of(end: End) -> AttemptOutcome {
+    let without_response = |status| AttemptOutcome { status, response: None, quota_use: None, load: None };
     let response = match end {
         End::Answered(response) => response,
-        End::NotConnected => return bare(Status::ConnectFailed),
-        End::NotTried => return bare(Status::NotSent),
-        End::Broken => return bare(Status::Reset),
-        End::TimedOut => return bare(Status::Timeout),
+        End::NotConnected => return without_response(Status::ConnectFailed),
+        End::NotTried => return without_response(Status::NotSent),
+        End::Broken => return without_response(Status::Reset),
+        End::TimedOut => return without_response(Status::Timeout),
     };
-    let proof = matches!(response.head.one(NOT_RUN_FIELD), Some("full" | "draining"));
+    let proven_not_run = matches!(response.head.one(NOT_RUN_FIELD), Some("full" | "draining"));
     let status = match response.head.status() {
-        503 if proof => Status::Rejected,
+        503 if proven_not_run => Status::Rejected,
         500.. => Status::Error,
         _ => Status::Ok,
     };
@@ -109,20 +125,21 @@
     AttemptOutcome { status, response: Some(response), quota_use: report.and_then(|r| r.quota_use), load }
 }
 
-/// A request as it goes to a node.
+/// A request to be sent to a server in one attempt.
 #[derive(Debug)]
 pub struct OutgoingRequest {
-    /// Its bytes.
+    /// The bytes of head and content.
     pub bytes: Vec<u8>,
-    /// It is a HEAD: the response has no content.
+    /// Whether the method is HEAD, so that the response has no content.
     pub to_head: bool,
-    /// The last look at the fleet's rules, right before the bytes go.
+    /// The check against the fleet's rules right before the first byte is sent; `None` without such rules.
     pub final_check: Option<AttemptCheck>,
-    /// Whose it is; nothing of it goes out once that client has gone.
+    /// The client; once it has disconnected, the request is not sent.
     pub client: Option<Client>,
 }
 
-/// Makes an attempt.
+/// Sends a request to a server once, unless its client has disconnected or the fleet's rules forbid it, and waits for the
+/// response until `deadline`; `connect` bounds the time to establish a connection.
 pub async fn attempt<W: Way>(
     way: &W,
     mut request: OutgoingRequest,
@@ -131,31 +148,31 @@
     deadline: Instant,
 ) -> AttemptOutcome {
     let OutgoingRequest { bytes, to_head, final_check, client } = &mut request;
-    let last = || match final_check {
-        // Guards against a connection that comes up late, after its client has gone.
+    let checked_bytes = || match final_check {
+        // The connection may be established only after the client has disconnected.
         _ if client.as_ref().is_some_and(Client::has_gone) => None,
         Some(check) => check.stamp(bytes),
         None => Some(Cow::Borrowed(&bytes[..])),
     };
-    let ended = ended(exchange_by(way, last, *to_head, limits, connect, deadline).await);
+    let outcome = outcome_of(exchange_by(way, checked_bytes, *to_head, limits, connect, deadline).await);
     if let Some(check) = &request.final_check {
-        check.record_end(&ended);
+        check.record_end(&outcome);
     }
-    ended
+    outcome
 }
 
-/// Probes a node: a GET of the settings' path, given up after the time for connecting.
+/// Probes a server with a GET of `path`. `timeout` bounds both connecting and the whole probe.
 pub async fn probe<W: Way>(
     way: &W,
     to: SocketAddr,
     path: &str,
     limits: &Limits,
-    patience: Duration,
+    timeout: Duration,
 ) -> AttemptOutcome {
     let mut request = Vec::new();
     let host = to.to_string();
     let fields = [("host", host.as_bytes())];
     write_request(&mut request, "GET", path, fields.into_iter(), Body::None);
-    let look = || Some(Cow::Borrowed(&request[..]));
-    ended(exchange_by(way, look, false, limits, patience, Instant::now() + patience).await)
+    let bytes = || Some(Cow::Borrowed(&request[..]));
+    outcome_of(exchange_by(way, bytes, false, limits, timeout, Instant::now() + timeout).await)
 }
--- a/crates/gateway/src/upstream/budgeted_pool/mod.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/mod.rs
@@ -1,8 +1,9 @@
-//! Connections to servers under the fleet's budgets: each counts against a permit from before it is opened until it is
-//! known to be closed at the server too.
+//! Connections to servers under the fleet's connection budgets. Each connection holds a permit from before it is opened
+//! until the server has closed its side too, or must have closed it.
 //!
-//! A request that finds no permit waits behind earlier ones of the same permit. A connection that is given up is shut
-//! down, and counts until the server has closed its side, or until the server must have dropped it as idle.
+//! A request that finds no free permit waits behind earlier requests for the same permit. A connection that is no longer
+//! wanted is shut down; its permit stays in use until the server has closed its side, or until the longest time after
+//! which the server must have closed it as idle.
 
 mod path;
 mod permitted_connection;
@@ -22,22 +23,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Access to the fleet's rules and permits, and the clock that they go by.
+/// Access to the guard with the fleet's rules and permits, and to the clock that its times refer to.
 pub trait RulesAccess: Send + Sync {
-    /// The present time of the guard's clock.
+    /// The current time of the guard's clock.
     fn now(&self) -> Micros;
-    /// The check of each attempt. The lock is to be held for one check, not longer.
+    /// Locks the guard that checks each attempt. Callers hold the lock for one check and no longer.
     fn guard(&self) -> MutexGuard<'_, AttemptGuard>;
 }
 
-/// Requests that may wait for a permit.
+/// Largest number of requests that may wait for a permit.
 const MAX_WAITING_REQUESTS: usize = 4_096;
 
-/// An idle connection.
+/// An open connection without a request, with the permit that it was opened or last used under.
 struct IdleConnection {
     stream: Arc<Async<TcpStream>>,
     permit: ConnectionPermit,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// A request that waits for a permit, or for an idle connection.
@@ -49,24 +50,27 @@
 
 #[derive(Default)]
 struct State {
+    /// Idle connections by server; within a list the most recently used is last.
     idle: BTreeMap<SocketAddr, Vec<IdleConnection>>,
+    /// Requests in the order of their arrival.
     waiting: VecDeque<Waiter>,
-    /// Connections that were shut down and still count.
+    /// Number of connections by permit that were shut down here and are not known to be closed at the server.
     closing: BTreeMap<ConnectionPermit, usize>,
 }
 
-/// PoolBounds of connections, also where no budget sets any.
+/// Bounds of a pool's connections; they also hold where no budget sets any.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolBounds {
-    /// Idle connections to each server.
+    /// Largest number of idle connections to each server.
     pub max_idle: usize,
-    /// An idle connection is closed after this.
+    /// Time after which an idle connection is closed.
     pub max_idle_time: Duration,
-    /// A connection that was shut down counts for this long, where its server does not close it.
+    /// Without a budget: how long the permit of a connection that was shut down stays in use if the server does not
+    /// close its side.
     pub close_timeout: Duration,
 }
 
-/// The connections of a gateway to servers.
+/// A gateway's connections to servers under connection budgets.
 pub struct BudgetedPool {
     rules: Arc<dyn RulesAccess>,
     executor: Arc<Executor<'static>>,
@@ -82,7 +86,8 @@
 }
 
 impl BudgetedPool {
-    /// An empty pool; idle connections are kept within the bounds, and no longer than a budget's server keeps them.
+    /// An empty pool. Idle connections are kept within the bounds, and are closed before a server with a budget would close
+    /// them. `source` is the local address to connect from.
     pub fn new(
         rules: Arc<dyn RulesAccess>,
         executor: Arc<Executor<'static>>,
@@ -98,19 +103,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A value of the budget of a permit's server; `None`: it has no budget.
-    fn budget<T>(&self, permit: &ConnectionPermit, of: impl Fn(&Budget) -> T) -> Option<T> {
+    /// A value of the budget that a permit belongs to; `None` if the permit is not under a budget.
+    fn budget<T>(&self, permit: &ConnectionPermit, value: impl Fn(&Budget) -> T) -> Option<T> {
         let policy = self.rules.guard().budgets(self.rules.now()).filter(|_| permit.budgeted)?;
-        policy.policy().budgets.get(&permit.group).map(of)
+        policy.policy().budgets.get(&permit.group).map(value)
     }
 
-    /// How long a connection may be idle.
+    /// How long a connection under this permit may be idle.
     fn idle_timeout(&self, permit: &ConnectionPermit) -> Duration {
         let bound = self.budget(permit, |b| Duration::from_millis(b.gateway_idle_limit_ms()));
         bound.map_or(self.bounds.max_idle_time, |bound| bound.min(self.bounds.max_idle_time))
     }
 
-    /// Idle connections.
+    /// Number of idle connections to all servers.
     pub fn len(&self) -> usize {
         self.state().idle.values().map(Vec::len).sum()
     }
@@ -120,7 +125,7 @@
         self.len() == 0
     }
 
-    /// Takes an idle connection for a permit; without one, under the permit it was opened for.
+    /// Takes an idle connection to a server and moves it to `permit`; without `permit`, the connection keeps its own.
     fn take_idle(
         self: &Arc<Self>,
         state: &mut State,
@@ -129,27 +134,27 @@
     ) -> Option<HeldPermit> {
         let now = self.rules.now();
         let list = state.idle.get_mut(&to)?;
-        // Its own first, then the one used last.
-        let own = list.iter().rposition(|r| permit.is_none_or(|t| r.permit == *t));
-        let k = own.or_else(|| list.len().checked_sub(1))?;
+        // A connection under the same permit is preferred; otherwise the most recently used one is taken.
+        let same_permit = list.iter().rposition(|r| permit.is_none_or(|t| r.permit == *t));
+        let k = same_permit.or_else(|| list.len().checked_sub(1))?;
         let mut guard = self.rules.guard();
-        let may = match permit {
+        let allowed = match permit {
             Some(permit) if list[k].permit != *permit => guard.transfer(now, &list[k].permit, permit),
             _ => guard.may_use(now, &list[k].permit),
         };
         drop(guard);
-        if !may {
+        if !allowed {
             return None;
         }
-        let IdleConnection { stream, permit: was, .. } = list.remove(k);
+        let IdleConnection { stream, permit: previous, .. } = list.remove(k);
         Some(HeldPermit {
             pool: self.clone(),
-            permit: Some(permit.cloned().unwrap_or(was)),
+            permit: Some(permit.cloned().unwrap_or(previous)),
             stream: Some(stream),
         })
     }
 
-    /// Acquires a permit now, with an idle connection if there is one.
+    /// Acquires a permit without waiting, together with an idle connection if there is one.
     fn acquire(
         self: &Arc<Self>,
         state: &mut State,
@@ -163,7 +168,8 @@
         opened.then(|| HeldPermit { pool: self.clone(), permit: Some(permit.clone()), stream: None })
     }
 
-    /// Closes an idle connection of the same tenant to another server, where the tenant's scope is what is used up.
+    /// Closes one idle connection to another server that counts against the permit's tenant scope, so that the tenant's
+    /// permit becomes free if its scope is exhausted.
     fn close_idle_of_tenant(self: &Arc<Self>, state: &mut State, to: SocketAddr, permit: &ConnectionPermit) {
         let [_, tenant_scope] = permit.scopes();
         let lists = state.idle.iter_mut().filter(|(at, _)| **at != to);
@@ -177,7 +183,7 @@
         }
     }
 
-    /// Gives free permits to the requests that wait, in their order.
+    /// Assigns free permits to the waiting requests, in the order of their arrival.
     pub fn serve_waiting(self: &Arc<Self>) {
         let mut unclaimed = vec![];
         let mut state = self.state();
@@ -194,11 +200,12 @@
         });
         state.waiting = waiting;
         drop(state);
-        // Dropping these takes the lock.
+        // The requests of these permits ended meanwhile. Dropping a permit locks the state, which is unlocked by now.
         drop(unclaimed);
     }
 
-    /// Closes connections that were idle for too long, and those over the gateway's permits.
+    /// Closes connections that were idle for too long and connections in excess of the gateway's permits, then serves the
+    /// waiting requests.
     pub fn close_excess(self: &Arc<Self>) {
         let now = self.rules.now();
         let excess = self.rules.guard().excess(now);
@@ -207,7 +214,7 @@
         let State { idle, closing, .. } = &mut *state;
         for list in idle.values_mut() {
             let timeout = |r: &IdleConnection| self.idle_timeout(&r.permit);
-            to_close.extend(list.extract_if(.., |r| r.since.elapsed() >= timeout(r)));
+            to_close.extend(list.extract_if(.., |r| r.idle_since.elapsed() >= timeout(r)));
         }
         for (scope, n) in excess {
             let already_closing =
@@ -230,40 +237,44 @@
         self.serve_waiting();
     }
 
-    /// Closes all idle connections, for good: those in use are closed as they come back.
+    /// Prepares the gateway for leaving the fleet: closes all idle connections, and from now on connections in use as soon
+    /// as their requests end.
     pub fn start_leaving(self: &Arc<Self>) {
         self.rules.guard().start_leaving();
         self.close_idle_except(&[]);
     }
 
-    /// Closes idle connections to addresses that are not among these.
+    /// Closes idle connections to all addresses that are not in `wanted`.
     pub fn close_idle_except(self: &Arc<Self>, wanted: &[SocketAddr]) {
-        let mut gone = vec![];
+        let mut to_close = vec![];
         self.state().idle.retain(|to, list| {
             let keep = wanted.contains(to);
             if !keep {
-                gone.append(list);
+                to_close.append(list);
             }
             keep
         });
-        for IdleConnection { stream, permit, .. } in gone {
+        for IdleConnection { stream, permit, .. } in to_close {
             self.clone().close(permit, Some(stream));
         }
     }
 
-    /// Closes a connection; its permit is free once the server has closed its side.
+    /// Shuts a connection down in the background; its permit is released once the server has closed its side.
     fn close(self: Arc<Self>, permit: ConnectionPermit, stream: Option<Arc<Async<TcpStream>>>) {
         *self.state().closing.entry(permit.clone()).or_default() += 1;
         self.release_when_closed(permit, stream);
     }
 
+    /// Releases a permit in the background once the server has closed the connection, or after the time by which it must
+    /// have done so: the longest attempt and idle times of the budget, or [`PoolBounds::close_timeout`] without one. A
+    /// permit without a connection is released at once.
     fn release_when_closed(self: Arc<Self>, permit: ConnectionPermit, stream: Option<Arc<Async<TcpStream>>>) {
         let bound = self.budget(&permit, |b| Duration::from_millis(b.attempt_ms + b.idle_ms));
         let timeout = bound.unwrap_or(self.bounds.close_timeout);
         let executor = self.executor.clone();
         let work = async move {
             if let Some(stream) = stream {
-                until(Instant::now() + timeout, closed(&stream)).await;
+                until(Instant::now() + timeout, shut_down(&stream)).await;
             }
             {
                 let mut state = self.state();
@@ -281,12 +292,12 @@
     }
 }
 
-/// Shuts down this side and waits for the other side to close.
-async fn closed(stream: &Async<TcpStream>) {
-    // One that is not established here yet may be established at the server.
+/// Shuts down the sending side and waits until the server has closed its side.
+async fn shut_down(stream: &Async<TcpStream>) {
+    // A connection that is still being established here may be established at the server already.
     if stands(stream).await.is_err() || stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let (mut rest, mut from) = ([0; 4_096], stream);
-    while matches!(from.read(&mut rest).await, Ok(1..)) {}
+    let (mut discarded, mut reader) = ([0; 4_096], stream);
+    while matches!(reader.read(&mut discarded).await, Ok(1..)) {}
 }
--- a/crates/gateway/src/upstream/budgeted_pool/path.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/path.rs
@@ -1,4 +1,4 @@
-//! The connections to one server for one request: idle ones, new ones, and waiting for a permit.
+//! The source of a connection to one server for one request: an idle connection, or a new one once a permit is free.
 
 use super::permitted_connection::{HeldPermit, PermittedConnection};
 use super::{BudgetedPool, IdleConnection, Waiter, MAX_WAITING_REQUESTS};
@@ -10,19 +10,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The connections to one server for one request.
+/// The way to a server for one request, by a pool with connection budgets.
 #[derive(Debug)]
 pub struct BudgetedPath {
     pool: Arc<BudgetedPool>,
     to: SocketAddr,
-    /// The permit that it needs; `None`: any that has an idle connection or capacity.
+    /// The permit that the request needs; `None` for the gateway's own requests, which use any permit that has an idle
+    /// connection or is free.
     permit: Option<ConnectionPermit>,
-    /// It counts as demand until it is dropped.
+    /// Whether the request counts as demand for its permit until this is dropped.
     in_demand: bool,
 }
 
 impl BudgetedPath {
-    /// For a tenant's request; `None`: the rules do not allow it at this server.
+    /// The path for a tenant's request; `None` if the rules do not allow the request at this server.
     pub fn request(
         pool: &Arc<BudgetedPool>,
         to: SocketAddr,
@@ -37,28 +38,29 @@
         Some(BudgetedPath { pool: pool.clone(), to, permit: Some(permit), in_demand: true })
     }
 
-    /// For the gateway's own requests.
+    /// The path for the gateway's own requests; it never waits for a permit.
     pub fn probe(pool: &Arc<BudgetedPool>, to: SocketAddr) -> BudgetedPath {
         BudgetedPath { pool: pool.clone(), to, permit: None, in_demand: false }
     }
 
-    /// The longest time that the budget allows for an attempt there; `None`: no bound.
+    /// The longest time that the budget allows for an attempt at the server; `None` without a budget.
     pub fn max_attempt_time(&self) -> Option<Duration> {
         self.pool.budget(self.permit.as_ref()?, |b| Duration::from_millis(b.attempt_ms))
     }
 
-    /// Acquires a permit; waits for it until the limit if none is free now.
-    async fn acquire(&self, limit: Instant) -> Option<HeldPermit> {
+    /// Acquires the permit, waiting for it until `deadline` if it is not free. `None` if it did not become free in time, or
+    /// if too many requests wait already.
+    async fn acquire(&self, deadline: Instant) -> Option<HeldPermit> {
         let Some(permit) = &self.permit else {
             let mut guard = self.pool.rules.guard();
             let now = self.pool.rules.now();
-            let permit = guard.any_permit(now, self.to).filter(|t| guard.open(now, t))?;
+            let permit = guard.any_permit(now, self.to).filter(|permit| guard.open(now, permit))?;
             drop(guard);
             return Some(HeldPermit { pool: self.pool.clone(), permit: Some(permit), stream: None });
         };
         let receiver = {
             let mut state = self.pool.state();
-            // It waits behind earlier requests of the same permit.
+            // Earlier requests that wait for the same permit come first.
             let others_wait = state.waiting.iter().any(|w| w.permit == *permit && !w.sender.is_closed());
             if !others_wait {
                 if let Some(held) = self.pool.acquire(&mut state, self.to, permit) {
@@ -74,14 +76,14 @@
             receiver
         };
         metrics::counter!("frostgauge_slot_waits").increment(1);
-        let held = match until(limit, receiver.recv()).await {
+        let held = match until(deadline, receiver.recv()).await {
             Timed::Done(held) => held.ok(),
             Timed::Late => None,
         };
         if held.is_none() {
             metrics::counter!("frostgauge_slot_waits_over").increment(1);
             receiver.close();
-            // A permit that arrived just then goes on to the next request.
+            // A permit that arrived after the deadline is released here, for the next request.
             drop(receiver.try_recv());
         }
         held
@@ -97,7 +99,7 @@
     }
 }
 
-/// Whether a connection can be reused: open, and without unsolicited bytes.
+/// Whether an idle connection can be reused: the server has neither closed it nor sent unsolicited bytes.
 fn is_reusable(stream: &Async<TcpStream>) -> bool {
     matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
@@ -116,16 +118,16 @@
         }
     }
 
-    async fn open(&self, limit: Instant) -> Result<PermittedConnection, NoLink> {
-        let mut held = self.acquire(limit).await.ok_or(NoLink::NoPlace)?;
+    async fn open(&self, deadline: Instant) -> Result<PermittedConnection, NoLink> {
+        let mut held = self.acquire(deadline).await.ok_or(NoLink::NoPlace)?;
         if let Some(stream) = held.stream.take() {
             let connection = PermittedConnection::new(held, stream);
             return if is_reusable(&connection.stream) { Ok(connection) } else { Err(NoLink::NoPlace) };
         }
         let stream = self.pool.connector.begin(self.to).map_err(NoLink::Io)?;
-        // From here on the connection may exist at the server.
+        // From here on the connection may exist at the server, so the permit is released only once that side is closed.
         let connection = PermittedConnection::new(held, Arc::new(stream));
-        match until(limit, stands(&connection.stream)).await {
+        match until(deadline, stands(&connection.stream)).await {
             Timed::Done(Ok(())) => Ok(connection),
             Timed::Done(Err(e)) => Err(NoLink::Io(e)),
             Timed::Late => Err(NoLink::Late),
@@ -136,16 +138,16 @@
         let now = self.pool.rules.now();
         let Some(permit) = connection.held.permit.take() else { return };
         if !self.pool.rules.guard().may_use(now, &permit) {
-            // Over the permits: this one is closed.
+            // The gateway has more connections than permits; dropping the connection closes it.
             connection.held.permit = Some(permit);
             return;
         }
         let mut idle =
-            Some(IdleConnection { stream: connection.stream.clone(), permit, since: Instant::now() });
+            Some(IdleConnection { stream: connection.stream.clone(), permit, idle_since: Instant::now() });
         let others_wait = {
             let mut state = self.pool.state();
             let list = state.idle.entry(self.to).or_default();
-            // Without a budget nothing else bounds the idle connections.
+            // Where no budget bounds the number of connections, this bound alone limits the idle ones.
             if list.len() < self.pool.bounds.max_idle {
                 list.extend(idle.take());
             }
--- a/crates/gateway/src/upstream/budgeted_pool/permitted_connection.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/permitted_connection.rs
@@ -1,4 +1,4 @@
-//! Permits in use, and the connections begun under them.
+//! Permits in use, and the connections opened under them.
 
 use super::BudgetedPool;
 use async_io::Async;
@@ -6,12 +6,12 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// A permit in use, with its connection once that was begun. Dropping it shuts the connection down; the permit is free
-/// once the server has closed its side.
+/// A permit in use, with its connection once connecting has started. Dropping it shuts the connection down; the permit is
+/// released once the server has closed its side.
 #[derive(Debug)]
 pub struct HeldPermit {
     pub(super) pool: Arc<BudgetedPool>,
-    /// `None`: the permit has passed to an idle connection.
+    /// `None` once the permit has passed to an idle connection of the pool.
     pub(super) permit: Option<ConnectionPermit>,
     pub(super) stream: Option<Arc<Async<TcpStream>>>,
 }
@@ -24,7 +24,7 @@
     }
 }
 
-/// A connection that was begun under a permit.
+/// A connection that is established, or being established, under a permit.
 #[derive(Debug)]
 pub struct PermittedConnection {
     pub(super) held: HeldPermit,
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers, probes of them, and the connections for both.
+//! Attempts at servers, probes of servers, and the pool with connection budgets that both use.
 
 mod attempt;
 mod budgeted_pool;
