--- a/crates/gateway/src/front/http.rs
+++ b/crates/gateway/src/front/http.rs
@@ -1,9 +1,8 @@
-//! HTTP/1.1 for clients. One task a connection: a reader that accepts requests and a writer that answers
-//! in their order (RFC 9112 section 9.3.2), joined by a bounded queue.
+//! The HTTP/1.1 front. Each connection has one task, in which a reader accepts requests and a writer sends the responses in
+//! the order of the requests (RFC 9112 section 9.3.2); a bounded queue joins them.
 //!
-//! The end of the client's stream means that the client has gone, also where it only closed its sending side:
-//! its unanswered requests are reported as abandoned. The reader goes on reading while answers are
-//! outstanding, to notice that at once.
+//! The end of the client's stream counts as a disconnect, even if the client closed only its sending side: its unanswered
+//! requests are reported as abandoned. To notice this at once, the reader goes on reading while responses are outstanding.
 
 use super::request::{parse, settings, Parsed};
 use super::response;
@@ -23,52 +22,55 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// How long, and how many bytes, a closed connection is still read: unread bytes would make the kernel discard an
-/// answer on its way.
+/// How long a connection is still read after its sending side was closed: with unread bytes the kernel would reset the
+/// connection, and the client might lose a response that is still in transit.
 const LINGER_TIME: Duration = Duration::from_millis(500);
+/// Largest number of bytes that are read and discarded on a connection that accepts no further request.
 const MAX_LINGER_BYTES: usize = 64 << 10;
 
-/// How long an idle connection is still read during a shutdown: over a round trip of any client.
+/// How long an idle connection is still read during a shutdown; it exceeds the round-trip time of any client, so that a
+/// request already in transit arrives.
 const SHUTDOWN_READ_TIME: Duration = Duration::from_millis(300);
 
-/// What the writer sends next.
+/// An entry of the queue from the reader to the writer.
 enum Outgoing {
-    /// 100 (Continue).
+    /// The interim response 100 (Continue).
     Continue,
-    /// An answer known at once.
+    /// An answer that needs no call, such as a rejection of a malformed request.
     Answer { answer: HttpAnswer, to_head: bool, close: bool },
-    /// The reply to a call.
+    /// The reply to a call, awaited by the writer.
     Reply { call_id: CallId, reply: Receiver<Reply>, scope: String, to_head: bool, close: bool },
 }
 
 /// Why the reader ended.
 enum ReaderEnd {
-    /// The client has gone.
+    /// The client has disconnected.
     ClientGone,
-    /// No further request is read; outstanding calls are answered first.
+    /// No further request is read; the connection closes once the outstanding calls are answered.
     LastRequest,
 }
 
-/// What a connection brings next.
+/// The result of waiting for a request's head.
 enum NextHead {
-    /// A request's head.
+    /// The head of the next request.
     Head(Head),
-    /// Nothing: the connection may close.
+    /// No request within the time allowed, or a shutdown: the connection closes.
     Close,
-    /// Nothing: the client has gone.
+    /// The client has disconnected.
     ClientGone,
 }
 
+/// A client's connection; its reader and its writer share it.
 struct Connection {
     stream: Async<TcpStream>,
     from: SocketAddr,
     handle: Handle,
     closing: Closing,
-    /// Calls not yet answered, oldest first.
+    /// Calls that are not yet answered, oldest first.
     outstanding: Mutex<VecDeque<CallId>>,
 }
 
-/// Serves a connection to its end.
+/// Serves a client's connection until it is closed; `place` is released then.
 pub async fn serve(
     stream: Async<TcpStream>,
     from: SocketAddr,
@@ -87,9 +89,9 @@
         }
     };
     let finished = futures_lite::future::or(connection.write(outgoing), reader).await;
-    // Whatever ended it, nobody receives the answers that are still outstanding.
+    // The connection has ended, so that the replies to outstanding calls can no longer be delivered.
     let abandoned: Vec<CallId> =
-        connection.outstanding.lock().map(|mut o| o.drain(..).collect()).unwrap_or_default();
+        connection.outstanding.lock().map(|mut calls| calls.drain(..).collect()).unwrap_or_default();
     for call_id in abandoned {
         connection.handle.send(Message::ClientGone(call_id)).await;
     }
@@ -98,21 +100,29 @@
     }
 }
 
-fn limits(loaded: &Loaded) -> Limits {
-    let l = &loaded.file.limits;
-    Limits { line: l.line_bytes, fields: l.fields, head: l.head_bytes, body: l.body_bytes }
+/// Limits for a client's request.
+fn request_limits(loaded: &Loaded) -> Limits {
+    let limits = &loaded.file.limits;
+    Limits {
+        line: limits.line_bytes,
+        fields: limits.fields,
+        head: limits.head_bytes,
+        body: limits.body_bytes,
+    }
 }
 
-fn unreadable(error: HttpError) -> HttpAnswer {
+/// The answer to a request that cannot be parsed or is over the limits.
+fn malformed_answer(error: HttpError) -> HttpAnswer {
     HttpAnswer::problem(error.status(), "request", "The request cannot be read", &error.to_string())
 }
 
-fn request_timeout() -> HttpAnswer {
+/// The answer to a request that did not arrive completely within `limits.request_ms`.
+fn timeout_answer() -> HttpAnswer {
     HttpAnswer::problem(408, "slow", "The request did not come whole in time", "")
 }
 
 impl Connection {
-    /// Accepts requests until the client goes, sends an unreadable one or says that it was the last.
+    /// Accepts requests until the client disconnects, sends a malformed request, or asks for the connection to close.
     async fn read(&self, queue: Sender<Outgoing>) -> ReaderEnd {
         let mut buf = Vec::new();
         loop {
@@ -124,12 +134,13 @@
                 Err(answer) => return self.reject(queue, answer, false).await,
             };
             let (to_head, close) = (head.method() == "HEAD", !head.persists());
-            let framing = match head.request_framing().and_then(|f| BodyReader::new(f, &limits(&loaded))) {
-                Ok(framing) => framing,
-                Err(error) => return self.reject(queue, unreadable(error), to_head).await,
-            };
+            let framing =
+                match head.request_framing().and_then(|f| BodyReader::new(f, &request_limits(&loaded))) {
+                    Ok(framing) => framing,
+                    Err(error) => return self.reject(queue, malformed_answer(error), to_head).await,
+                };
             let parsed = parse(&loaded, &head);
-            // Content is asked for only where the request may go on (RFC 9110 section 10.1.1).
+            // 100 (Continue) is sent only if the head is acceptable (RFC 9110 section 10.1.1).
             if head.expects_continue() && !framing.done() {
                 match &parsed {
                     Ok(_) => drop(queue.send(Outgoing::Continue).await),
@@ -157,25 +168,25 @@
         }
     }
 
-    /// Rejects a request; the connection closes after the answer.
+    /// Queues an answer that rejects a request; the connection closes after it.
     async fn reject(&self, queue: Sender<Outgoing>, answer: HttpAnswer, to_head: bool) -> ReaderEnd {
         metrics::counter!("frostgauge_turned_away", "status" => answer.status.to_string()).increment(1);
         let _ = queue.send(Outgoing::Answer { answer, to_head, close: true }).await;
         ReaderEnd::LastRequest
     }
 
-    /// Waits for the next head.
+    /// Waits for the head of the next request.
     ///
     /// # Errors
-    /// The answer to a head that is malformed, over the limits or late.
+    /// The head is malformed, over the limits or late; the error is the answer to it.
     async fn next_head(&self, buf: &mut Vec<u8>, loaded: &Loaded) -> Result<NextHead, HttpAnswer> {
-        let (limits, l) = (limits(loaded), &loaded.file.limits);
+        let (limits, l) = (request_limits(loaded), &loaded.file.limits);
         let mut reader = HeadReader::default();
         let mut deadline = Instant::now() + Duration::from_millis(l.idle_ms);
         let mut begun = false;
         loop {
-            if let Some(end) = reader.push(buf, &limits).map_err(unreadable)? {
-                let head = Head::request(&buf[..end]).map_err(unreadable)?;
+            if let Some(end) = reader.push(buf, &limits).map_err(malformed_answer)? {
+                let head = Head::request(&buf[..end]).map_err(malformed_answer)?;
                 buf.drain(..end);
                 return Ok(NextHead::Head(head));
             }
@@ -184,8 +195,8 @@
                 deadline = Instant::now() + Duration::from_millis(l.request_ms);
             }
             let read = async { Some(until(deadline, read_some(&mut &self.stream, buf)).await) };
-            // A request that has begun is accepted also during a shutdown. An idle connection is closed, but not at
-            // once: a request already on its way would be cut off without an answer.
+            // A request whose first bytes have arrived is accepted also during a shutdown. An idle connection is closed
+            // after a short time only: a request already in transit would otherwise get no answer.
             let read = if begun || self.closing.begun() {
                 read.await
             } else {
@@ -200,13 +211,13 @@
                 None => return Ok(NextHead::Close),
                 Some(Timed::Done(Ok(0) | Err(_))) => return Ok(NextHead::ClientGone),
                 Some(Timed::Done(Ok(_))) => {}
-                Some(Timed::Late) if begun => return Err(request_timeout()),
-                // Idle: closed without an answer, unless calls are still outstanding on it.
+                Some(Timed::Late) if begun => return Err(timeout_answer()),
+                // An idle connection is closed without an answer, unless calls are still outstanding on it.
                 Some(Timed::Late) => {
                     if self.closing.begun() {
                         return Ok(NextHead::Close);
                     }
-                    if self.outstanding.lock().is_ok_and(|o| o.is_empty()) {
+                    if self.outstanding.lock().is_ok_and(|calls| calls.is_empty()) {
                         return Ok(NextHead::Close);
                     }
                     deadline = Instant::now() + Duration::from_millis(l.idle_ms);
@@ -215,7 +226,10 @@
         }
     }
 
-    /// Reads a request's content; `Ok(None)` when the client has gone.
+    /// Reads a request's content; `Ok(None)` if the client has disconnected.
+    ///
+    /// # Errors
+    /// The content is malformed, over the limits or late; the error is the answer to it.
     async fn body(
         &self,
         buf: &mut Vec<u8>,
@@ -225,20 +239,20 @@
         let deadline = Instant::now() + Duration::from_millis(loaded.file.limits.request_ms);
         let mut body = Vec::new();
         loop {
-            let taken = reader.push(buf, &mut body).map_err(unreadable)?;
-            buf.drain(..taken);
+            let consumed = reader.push(buf, &mut body).map_err(malformed_answer)?;
+            buf.drain(..consumed);
             if reader.done() {
                 return Ok(Some(body));
             }
             match until(deadline, read_some(&mut &self.stream, buf)).await {
                 Timed::Done(Ok(0) | Err(_)) => return Ok(None),
                 Timed::Done(Ok(_)) => {}
-                Timed::Late => return Err(request_timeout()),
+                Timed::Late => return Err(timeout_answer()),
             }
         }
     }
 
-    /// Submits a request to the engine.
+    /// Submits a request to the engine; `None` once the engine has ended.
     async fn call(
         &self,
         loaded: &Loaded,
@@ -267,11 +281,11 @@
         sent.then_some(Outgoing::Reply { call_id, reply: answer, scope, to_head, close })
     }
 
-    /// Reads on after the last request, only to notice that the client goes.
+    /// Reads and discards after the last request, in order to notice a disconnect of the client.
     async fn watch_for_close(&self) -> ReaderEnd {
-        let mut seen = Vec::new();
-        while seen.len() < MAX_LINGER_BYTES {
-            match read_some(&mut &self.stream, &mut seen).await {
+        let mut discarded = Vec::new();
+        while discarded.len() < MAX_LINGER_BYTES {
+            match read_some(&mut &self.stream, &mut discarded).await {
                 Ok(0) | Err(_) => return ReaderEnd::ClientGone,
                 Ok(_) => {}
             }
@@ -279,7 +293,7 @@
         ReaderEnd::LastRequest
     }
 
-    /// Answers in order; true once all is answered and the connection may close in peace.
+    /// Sends the responses in order; true once all are sent and the connection can be closed normally, false if it broke.
     async fn write(&self, outgoing: Receiver<Outgoing>) -> bool {
         let realm = settings(&self.handle).introspection().realm.clone();
         let mut out = Vec::new();
@@ -293,6 +307,7 @@
                     response::gateway(&mut out, &answer, to_head, close);
                 }
                 Outgoing::Reply { call_id, reply, scope, to_head, close } => {
+                    // The engine dropped the call without a reply.
                     let Ok(reply) = reply.recv().await else { return false };
                     last = close || self.closing.begun() && outgoing.is_empty();
                     match reply {
@@ -304,10 +319,10 @@
                     answered = Some(call_id);
                 }
             }
-            let patience = Duration::from_millis(settings(&self.handle).file.limits.request_ms);
-            let written = until(Instant::now() + patience, (&mut &self.stream).write_all(&out)).await;
+            let write_timeout = Duration::from_millis(settings(&self.handle).file.limits.request_ms);
+            let written = until(Instant::now() + write_timeout, (&mut &self.stream).write_all(&out)).await;
             if let (Some(call_id), Ok(mut outstanding)) = (answered, self.outstanding.lock()) {
-                outstanding.retain(|t| *t != call_id);
+                outstanding.retain(|id| *id != call_id);
             }
             if !matches!(written, Timed::Done(Ok(()))) {
                 return false;
@@ -319,13 +334,13 @@
         true
     }
 
-    /// Closes the sending side, and reads a little of what still comes.
+    /// Closes the sending side, then reads and discards for a bounded time; see [`LINGER_TIME`].
     async fn linger(&self) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         let drain = async {
-            let mut seen = Vec::new();
-            while seen.len() < MAX_LINGER_BYTES {
-                if !matches!(read_some(&mut &self.stream, &mut seen).await, Ok(n) if n > 0) {
+            let mut discarded = Vec::new();
+            while discarded.len() < MAX_LINGER_BYTES {
+                if !matches!(read_some(&mut &self.stream, &mut discarded).await, Ok(n) if n > 0) {
                     return;
                 }
             }
