--- a/crates/gateway/src/oauth/attempt.rs
+++ b/crates/gateway/src/oauth/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request sent to a server once.
+//! Attempts: each sends a request to a server once.
 
 use super::{response_limits, Call, Message, OAuthHost};
 use crate::engine::Attempt;
@@ -9,43 +9,49 @@
 use std::time::{Duration, Instant};
 
 impl OAuthHost {
-    /// Starts an attempt on a connection of the pool, or of the fleet's budgets where there are such.
+    /// Starts an attempt, on a connection of the budgeted pool if there are fleet rules and of the plain pool otherwise. The
+    /// task sends [`Message::Ended`] when the attempt has ended.
     pub(super) fn spawn_attempt(&mut self, attempt: Attempt, call: Option<&Call>) -> Task<()> {
         let Attempt { call_id, attempt, server, timeout, grant, .. } = attempt;
-        let instant = Instant::now();
+        let started_at = Instant::now();
         *self.in_flight.entry(server).or_default() += 1;
         let inbox = self.handle.inbox();
         let loaded = self.handle.loaded();
         let target = self.addresses.get(&server).copied().zip(call);
         let Some((to, call)) = target else {
-            // Neither can be missing while the core sends; if one were, nothing has run.
+            // The core sends only for open calls and known servers, so that neither should be missing; if one is, the
+            // request was certainly not sent.
             let ended = never_sent();
             return self.executor.spawn(async move {
                 let _ = inbox.send(Message::Ended { call_id, attempt, ended }).await;
             });
         };
-        let number = format!("{}-{:x}-{call_id}", loaded.file.gateway.number, self.started);
-        let bytes = call.forward.bytes(to, &grant.subject, &number, attempt, rand::random());
+        let request_number = format!("{}-{:x}-{call_id}", loaded.file.gateway.number, self.started);
+        let bytes = call.forward.bytes(to, &grant.subject, &request_number, attempt, rand::random());
         let to_head = call.forward.head.method() == "HEAD";
-        let (pool, held) = (self.pool.clone(), self.held.clone());
+        let (pool, budgeted_pool) = (self.pool.clone(), self.budgeted_pool.clone());
         let class = loaded.classes.get(call.caller.class);
-        let final_check =
-            self.agreed.as_ref().zip(class).map(|(a, class)| a.attempt_check(&grant.subject, class, to));
+        let final_check = self
+            .fleet_rules
+            .as_ref()
+            .zip(class)
+            .map(|(rules, class)| rules.attempt_check(&grant.subject, class, to));
         let request = OutgoingRequest { bytes, to_head, final_check, client: Some(call.client()) };
-        let paid =
-            held.zip(class).map(|(held, class)| BudgetedPath::request(&held, to, &grant.subject, class));
+        let budgeted_path = budgeted_pool
+            .zip(class)
+            .map(|(pool, class)| BudgetedPath::request(&pool, to, &grant.subject, class));
         self.executor.spawn(async move {
             let l = &loaded.file.limits;
             let limits = response_limits(l, l.answer_bytes);
             let connect = Duration::from_millis(l.connect_ms);
-            let deadline = instant + Duration::from_micros(timeout);
-            let ended = match paid {
+            let deadline = started_at + Duration::from_micros(timeout);
+            let ended = match budgeted_path {
                 None => upstream::attempt(&Pooled(&pool, to), request, &limits, connect, deadline).await,
-                // The rules let nothing go there any more: nothing has run.
+                // The rules no longer allow this request at this server: it was not sent.
                 Some(None) => never_sent(),
-                Some(Some(way)) => {
-                    let longest = way.max_attempt_time().map_or(deadline, |most| instant + most);
-                    upstream::attempt(&way, request, &limits, connect, deadline.min(longest)).await
+                Some(Some(path)) => {
+                    let budget_deadline = path.max_attempt_time().map_or(deadline, |max| started_at + max);
+                    upstream::attempt(&path, request, &limits, connect, deadline.min(budget_deadline)).await
                 }
             };
             let _ = inbox.send(Message::Ended { call_id, attempt, ended }).await;
@@ -53,7 +59,7 @@
     }
 }
 
-/// The end of an attempt of which nothing was sent.
+/// The outcome of an attempt of which no byte was sent.
 fn never_sent() -> AttemptOutcome {
     AttemptOutcome { status: Status::NotSent, response: None, quota_use: None, load: None }
 }
--- a/crates/gateway/src/oauth/counter.rs
+++ b/crates/gateway/src/oauth/counter.rs
@@ -1,23 +1,23 @@
-//! The client of the shared counter.
+//! The client of the shared counter service.
 
 use super::{HostEvent, Message, OAuthHost};
 use frostgauge_counter_service::client::{self, Client};
 use std::future::Future;
 
 impl OAuthHost {
-    /// Starts the client of the shared counter, where the settings name one.
+    /// Starts the client of the shared counter; `None` if the settings have no counter or no secret for it.
     pub(super) fn start_counter_client(&self) -> Option<Client> {
         let loaded = self.handle.loaded();
         let (settings, secret) = loaded.file.counter.as_ref().zip(loaded.counter_secret.as_ref())?;
-        let ms = |ms: u64| ms * 1_000;
+        let micros = |ms: u64| ms * 1_000;
         let config = client::Config {
             address: settings.address,
             key: frostgauge_proto::counter::Key::derive(secret.expose()),
             gateway: u16::try_from(loaded.file.gateway.number).unwrap_or(u16::MAX),
             source: loaded.file.gateway.source,
             calls: frostgauge_counter_core::ClientCallsConfig {
-                timeout: ms(settings.limit_ms),
-                retry_after: ms(settings.repeat_ms),
+                timeout: micros(settings.limit_ms),
+                retry_after: micros(settings.repeat_ms),
             },
         };
         let inbox = self.handle.inbox();
--- a/crates/gateway/src/oauth/introspection.rs
+++ b/crates/gateway/src/oauth/introspection.rs
@@ -1,4 +1,4 @@
-//! Token introspection (RFC 7662): the request, and the verdict that its answer means.
+//! Token introspection (RFC 7662): the request, and the verdict derived from the response.
 
 use super::{response_limits, HostEvent, Message, OAuthHost, MAX_SMALL_RESPONSE_BYTES};
 use crate::clock::{Clock, Micros};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 impl OAuthHost {
-    /// Starts an introspection request; its end comes back as [`HostEvent::Introspected`].
+    /// Starts an introspection request; the task sends [`HostEvent::Introspected`] when it has ended.
     pub(super) fn introspect(&mut self, flight: u64, token: TokenName, timeout: Micros) {
         let inbox = self.handle.inbox();
         let loaded = self.handle.loaded();
@@ -34,7 +34,7 @@
     }
 }
 
-/// Requests the verdict on a token from the introspection server.
+/// Requests the verdict on a token from the introspection server; `None` if there was no usable response in time.
 async fn request_verdict(
     loaded: &Loaded,
     pool: &Pool,
@@ -57,7 +57,8 @@
     let connect = Duration::from_millis(l.connect_ms);
     let end = exchange(pool, settings.address, &request, false, &limits, connect, deadline).await;
     let End::Answered(response) = end else { return None };
-    // A 401 here is about this gateway's own secret, a 4xx or 5xx about the question: neither is a verdict.
+    // A 401 concerns this gateway's own client secret, any other 4xx or 5xx the introspection request: neither is a
+    // verdict on the token.
     if response.head.status() != 200 {
         return None;
     }
@@ -65,16 +66,18 @@
     Some(verdict(&answer, settings, clock.now()))
 }
 
-/// The verdict that an answer means (RFC 7662 section 4: audience and times are the resource server's to check).
+/// The verdict that a response implies. RFC 7662 section 4 leaves the checks of audience and times to the resource server,
+/// which is the gateway.
 fn verdict(
     answer: &introspection::Answer,
     settings: &frostgauge_settings::Introspection,
     now: Micros,
 ) -> Answer {
     let micros = |seconds: f64| (seconds.max(0.0) * 1e6) as Micros;
-    let ours = settings.audience.as_ref().is_none_or(|a| answer.aud.is_empty() || answer.aud.contains(a));
-    let begun = answer.nbf.is_none_or(|nbf| micros(nbf) <= now);
-    match answer.member(&settings.customer).filter(|_| answer.active && ours && begun) {
+    let audience_matches =
+        settings.audience.as_ref().is_none_or(|a| answer.aud.is_empty() || answer.aud.contains(a));
+    let valid_already = answer.nbf.is_none_or(|nbf| micros(nbf) <= now);
+    match answer.member(&settings.customer).filter(|_| answer.active && audience_matches && valid_already) {
         Some(subject) => Answer::Good {
             grant: Grant { subject: subject.to_owned(), scopes: answer.scopes.clone() },
             exp: answer.exp.map(micros),
--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -1,4 +1,4 @@
-//! The host of a gateway that knows its callers by OAuth 2 tokens and its servers by a settings file.
+//! The host of a gateway that identifies its callers by OAuth 2 tokens and takes its servers from a settings file.
 
 mod attempt;
 mod counter;
@@ -28,21 +28,21 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 
-/// Interval between sweeps of the tokens that no request waits for.
+/// Interval, µs, at which gauges are published and tokens without a pending introspection are dropped.
 const TOKEN_SWEEP_INTERVAL: Micros = 100_000;
-/// Bytes of content of a response that is read for its status or for one small document.
+/// Largest content, in bytes, of a response to a probe, a health check or an introspection request.
 const MAX_SMALL_RESPONSE_BYTES: u64 = 64 << 10;
 
-/// Handle of an engine in this host.
+/// Handle of an engine with this host.
 pub type Handle = engine::Handle<OAuthHost>;
-/// Message to an engine in this host.
+/// Message to an engine with this host.
 pub type Message = engine::Message<OAuthHost>;
-/// Call of an engine in this host.
+/// Call to an engine with this host.
 pub type Call = engine::Call<OAuthHost>;
-/// Engine in this host.
+/// Engine with this host.
 pub type Engine = engine::Engine<OAuthHost>;
 
-/// The caller of a request, and what the request asks for.
+/// The caller of a request, and the properties of the request's route.
 #[derive(Debug)]
 pub struct Caller {
     /// The request's token.
@@ -56,7 +56,7 @@
     pub scope: Arc<str>,
 }
 
-/// Events beside calls and attempts.
+/// Events of this host, in addition to the calls and attempts that every engine handles.
 #[derive(Debug)]
 pub enum HostEvent {
     /// An introspection request ended.
@@ -70,7 +70,7 @@
     Checked {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// Its outcome.
         status: Status,
         /// Time since it was sent, µs.
         elapsed: Micros,
@@ -81,24 +81,24 @@
         zone: String,
         /// Whether it is drained.
         drained: bool,
-        /// Receives whether the zone is known.
+        /// Receives true if the zone is configured and zones are in use, false otherwise.
         reply: Sender<bool>,
     },
-    /// A call of the shared counter ended.
+    /// A call to the shared counter ended.
     CounterCallEnded(CallResult),
     /// The servers that the fleet's agreed rules allow have changed.
     FleetRulesChanged,
-    /// New settings, already checked against the old ones.
+    /// New settings, already checked to need no restart.
     Reload(Arc<Loaded>),
     /// The status page is requested.
     Status(Sender<Value>),
 }
 
-/// The settings as they are now.
+/// The current settings, shared by the host and the fronts; a reload replaces them.
 pub type SharedSettings = Arc<RwLock<Arc<Loaded>>>;
 
 impl Handle {
-    /// The settings as they are now.
+    /// The current settings.
     pub fn loaded(&self) -> Arc<Loaded> {
         match self.shared.read() {
             Ok(loaded) => loaded.clone(),
@@ -114,27 +114,33 @@
     }
 }
 
-/// Embeds an engine with sockets, tokens, the counter and the settings.
+/// The host's state: connections, tokens, the counter's client and the settings.
 pub struct OAuthHost {
     handle: Handle,
     executor: Arc<Executor<'static>>,
     pool: Arc<Pool>,
+    /// Addresses of the current servers, and of removed ones with attempts in flight.
     addresses: BTreeMap<ServerId, SocketAddr>,
-    /// Attempts in flight, by server.
+    /// Number of attempts in flight, by server.
     in_flight: BTreeMap<ServerId, usize>,
     peers: Option<PeerSender>,
     counter: Option<Client>,
-    agreed: Option<FleetRules>,
-    /// Connections to servers under the fleet's budgets, in place of the pool's.
-    held: Option<Arc<BudgetedPool>>,
+    fleet_rules: Option<FleetRules>,
+    /// Connections to servers under the fleet's budgets; used in place of `pool` where there are fleet rules.
+    budgeted_pool: Option<Arc<BudgetedPool>>,
+    /// Tokens with a pending introspection, by name.
     tokens: BTreeMap<TokenName, Token>,
-    key: [u8; 32],
+    /// Random key from which the names of tokens are derived.
+    token_name_key: [u8; 32],
+    /// Start time; part of the request numbers, to distinguish this process from earlier ones.
     started: Micros,
-    swept: Micros,
+    swept_at: Micros,
+    /// Number of successful reloads.
     reloads: u64,
 }
 
-/// An engine that starts now, and its handle; `executor` runs the tasks that use sockets.
+/// An engine that starts now, and its handle. `executor` runs the tasks that use sockets; `rules` are the fleet rules, if
+/// the settings have a section for them, with the pool for connections under their budgets.
 ///
 /// # Errors
 /// The decision library rejects the settings.
@@ -148,11 +154,11 @@
 ) -> Result<(Engine, Handle), frostgauge::SettingsError> {
     let now = clock.now();
     let mut core = Core::new(&loaded, seed, now)?;
-    let (agreed, held) = rules.unzip();
-    if let Some(agreed) = &agreed {
-        core.admit_by(Box::new(RulesAdmission::new(agreed.clone(), &loaded)));
-        // Until the agreed rules are known, no server may get a request.
-        let entries = agreed.entries(&loaded).into_iter().map(|(_, e)| e).collect();
+    let (fleet_rules, budgeted_pool) = rules.unzip();
+    if let Some(fleet_rules) = &fleet_rules {
+        core.admit_by(Box::new(RulesAdmission::new(fleet_rules.clone(), &loaded)));
+        // Only servers that the agreed rules allow may receive requests; until the rules are known, none may.
+        let entries = fleet_rules.entries(&loaded).into_iter().map(|(_, entry)| entry).collect();
         core.servers(now, entries, &mut Vec::new());
     }
     let l = &loaded.file.limits;
@@ -167,12 +173,12 @@
         in_flight: BTreeMap::new(),
         peers,
         counter: None,
-        agreed,
-        held,
+        fleet_rules,
+        budgeted_pool,
         tokens: BTreeMap::new(),
-        key: rand::random(),
+        token_name_key: rand::random(),
         started: now,
-        swept: now,
+        swept_at: now,
         reloads: 0,
     };
     host.update_addresses();
@@ -187,7 +193,7 @@
     type Shared = SharedSettings;
 
     fn register_call(&mut self, call: &Call) -> Input {
-        let token = call.caller.token.name(&self.key);
+        let token = call.caller.token.name(&self.token_name_key);
         self.tokens.entry(token).or_insert_with(|| call.caller.token.clone());
         Input::Call(CallMetadata {
             call_id: call.call_id,
@@ -216,16 +222,20 @@
                 context.core.handle(now, Input::Checked { server, status, took: elapsed }, out);
             }
             HostEvent::Drain { zone, drained, reply } => {
-                let known = self.handle.loaded().file.zones.iter().position(|z| *z == zone);
-                let known = known.filter(|_| context.core.zones().is_some());
-                if let Some(zone) = known {
+                let index = self.handle.loaded().file.zones.iter().position(|name| *name == zone);
+                let index = index.filter(|_| context.core.zones().is_some());
+                if let Some(zone) = index {
                     context.core.handle(now, Input::DrainZone { zone: zone as u32, drained }, out);
                 }
-                let _ = reply.try_send(known.is_some());
+                let _ = reply.try_send(index.is_some());
             }
-            HostEvent::CounterCallEnded(CallResult { counter, total, unsure, elapsed: took, .. }) => {
+            HostEvent::CounterCallEnded(CallResult { counter, total, unsure, elapsed, .. }) => {
                 let counter = CounterId(counter);
-                context.core.handle(now, Input::CounterReplied { counter, total, unsure, took }, out);
+                context.core.handle(
+                    now,
+                    Input::CounterReplied { counter, total, unsure, took: elapsed },
+                    out,
+                );
             }
             HostEvent::Reload(loaded) => self.reload(now, loaded, context.core, out),
             HostEvent::FleetRulesChanged => self.apply_agreed_servers(now, context.core, out),
@@ -258,12 +268,12 @@
                 }
             }
             Command::AddToCounter { counter, amount, ttl } => {
-                // No counter, or its queue is full: rejected, certainly not added.
-                if !self.counter.as_ref().is_some_and(|c| c.call(counter.0, amount, ttl)) {
+                // Without a counter, or with a full queue, the amount was certainly not added: the call fails at once.
+                if !self.counter.as_ref().is_some_and(|client| client.call(counter.0, amount, ttl)) {
                     return Some(Input::CounterReplied { counter, total: None, unsure: false, took: 0 });
                 }
             }
-            // Handled by the engine.
+            // The engine executes these itself.
             Command::Send { .. }
             | Command::Cancel { .. }
             | Command::Deliver { .. }
@@ -273,12 +283,12 @@
         None
     }
 
-    /// Publishes gauges, and drops tokens whose verdict nobody waits for: only their names stay.
+    /// Publishes gauges, and drops tokens without a pending introspection, so that only their names remain in memory.
     fn after_batch(&mut self, now: Micros, context: EngineContext<'_>) {
-        if now < self.swept + TOKEN_SWEEP_INTERVAL {
+        if now < self.swept_at + TOKEN_SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.swept_at = now;
         let identity = context.core.identity();
         context.observed.publish();
         self.publish_zones(now, context.core);
@@ -299,7 +309,7 @@
 }
 
 impl OAuthHost {
-    /// Replaces the settings by ones that were already checked against the running ones.
+    /// Replaces the running settings by new ones that were already checked to need no restart.
     fn reload(&mut self, now: Micros, loaded: Arc<Loaded>, core: &mut Core, out: &mut Vec<Command>) {
         match self.handle.shared.write() {
             Ok(mut shared) => *shared = loaded.clone(),
@@ -311,48 +321,49 @@
         tracing::info!(nodes = loaded.nodes.len(), insurers = loaded.tenants.len(), "reloaded");
     }
 
-    /// Gives the core the servers of the fleet's agreed rules, where there are such, and updates the addresses.
+    /// Passes the servers that the fleet rules allow to the core, if there are fleet rules, and updates the addresses.
     fn apply_agreed_servers(&mut self, now: Micros, core: &mut Core, out: &mut Vec<Command>) {
-        if let Some(agreed) = &self.agreed {
-            let entries = agreed.entries(&self.handle.loaded());
+        if let Some(fleet_rules) = &self.fleet_rules {
+            let entries = fleet_rules.entries(&self.handle.loaded());
             core.servers(now, entries.into_iter().map(|(_, entry)| entry).collect(), out);
         }
         self.update_addresses();
     }
 
-    /// Updates the addresses of servers, and closes idle connections to servers that are gone.
+    /// Updates the addresses of servers, and closes idle connections to servers that were removed.
     fn update_addresses(&mut self) {
         let loaded = self.handle.loaded();
-        // Addresses of removed servers are kept while attempts are in flight, and no longer: servers come and go
-        // for years.
+        // Addresses of removed servers are kept only while attempts are in flight: servers change for as long as the
+        // process runs, so that keeping all would leak memory.
         let in_flight = &self.in_flight;
         self.addresses.retain(|server, _| in_flight.contains_key(server));
         self.addresses.extend(loaded.nodes.iter().map(|n| (n.entry.server, n.address)));
         let mut wanted: Vec<SocketAddr> = loaded.nodes.iter().map(|n| n.address).collect();
-        if let Some(agreed) = &self.agreed {
-            for (address, entry) in agreed.entries(&loaded) {
+        if let Some(fleet_rules) = &self.fleet_rules {
+            for (address, entry) in fleet_rules.entries(&loaded) {
                 self.addresses.insert(entry.server, address);
                 wanted.push(address);
             }
         }
         wanted.push(loaded.introspection().address);
-        if let Some(held) = &self.held {
-            held.close_idle_except(&wanted);
+        if let Some(budgeted_pool) = &self.budgeted_pool {
+            budgeted_pool.close_idle_except(&wanted);
         }
         self.pool.keep(&wanted);
     }
 
+    /// Counts and logs a zone's change of phase.
     fn report_zone_change(&self, change: &ZoneChange) {
         let loaded = self.handle.loaded();
         let zone = loaded.file.zones.get(change.zone as usize).cloned().unwrap_or_default();
         let phase = format!("{:?}", change.phase).to_lowercase();
         metrics::counter!("frostgauge_zone_changes", "zone" => zone.clone(), "phase" => phase.clone())
             .increment(1);
-        tracing::warn!(zone, phase, why = change.why, "zone");
+        tracing::warn!(zone, phase, why = change.why, "zone changed its phase");
     }
 }
 
-/// PoolBounds of a server's response with at most so many bytes of content.
+/// Limits for a response from a server with at most `body_bytes` of content.
 fn response_limits(limits: &frostgauge_settings::Limits, body_bytes: u64) -> Limits {
     Limits { line: limits.line_bytes, fields: limits.fields, head: limits.head_bytes, body: body_bytes }
 }
--- a/crates/gateway/src/oauth/status.rs
+++ b/crates/gateway/src/oauth/status.rs
@@ -14,45 +14,44 @@
     /// Publishes each zone's gauges, and notifies the fleet agent of the zones that are unavailable.
     pub(super) fn publish_zones(&self, now: Micros, core: &Core) {
         let (Some(zones), loaded) = (core.zones(), self.handle.loaded()) else { return };
-        let mut dark = BTreeSet::new();
-        for (k, name) in loaded.file.zones.iter().enumerate() {
-            let Some(s) = zones.standing(now, k as u32) else { continue };
-            if s.phase == Phase::Dark {
-                dark.insert(name.clone());
+        let mut unavailable = BTreeSet::new();
+        for (index, name) in loaded.file.zones.iter().enumerate() {
+            let Some(state) = zones.standing(now, index as u32) else { continue };
+            if state.phase == Phase::Dark {
+                unavailable.insert(name.clone());
             }
             for (what, value) in [
-                ("open", s.open),
-                ("health", s.health),
-                ("spilled", s.spilled as f64),
-                ("short", s.short as f64),
-                ("spill_per_s", s.spill_part.unwrap_or(f64::NAN)),
+                ("open", state.open),
+                ("health", state.health),
+                ("spilled", state.spilled as f64),
+                ("short", state.short as f64),
+                ("spill_per_s", state.spill_part.unwrap_or(f64::NAN)),
             ] {
                 metrics::gauge!("frostgauge_zone", "zone" => name.clone(), "what" => what).set(value);
             }
         }
-        if let Some(agreed) = &self.agreed {
-            agreed.task().guard().set_unavailable_zones(dark);
+        if let Some(fleet_rules) = &self.fleet_rules {
+            fleet_rules.task().guard().set_unavailable_zones(unavailable);
         }
     }
 
-    /// A row of the status page for each zone.
+    /// One row for each zone of the status page; none if zones are not in use.
     fn zone_rows(&self, now: Micros, core: &Core, loaded: &Loaded) -> Vec<Value> {
         let Some(zones) = core.zones() else { return vec![] };
-        let rows = loaded.file.zones.iter().enumerate().filter_map(|(k, name)| {
-            let s = zones.standing(now, k as u32)?;
+        let rows = loaded.file.zones.iter().enumerate().filter_map(|(index, name)| {
+            let state = zones.standing(now, index as u32)?;
             Some(json!({
-                "zone": name, "phase": format!("{:?}", s.phase).to_lowercase(),
-                "for_s": now.saturating_sub(s.since) as f64 / 1e6, "open": s.open, "health": s.health,
-                "tier": s.tier, "spill_per_s": s.spill_part, "spilled": s.spilled, "short": s.short,
+                "zone": name, "phase": format!("{:?}", state.phase).to_lowercase(),
+                "for_s": now.saturating_sub(state.since) as f64 / 1e6, "open": state.open, "health": state.health,
+                "tier": state.tier, "spill_per_s": state.spill_part, "spilled": state.spilled, "short": state.short,
             }))
         });
         rows.collect()
     }
 
-    /// The status page.
+    /// The content of the status page.
     pub(super) fn status(&self, now: Micros, context: &EngineContext<'_>) -> Value {
-        let (counts, identity, loaded) =
-            (context.core.stats(), context.core.identity(), self.handle.loaded());
+        let (stats, identity, loaded) = (context.core.stats(), context.core.identity(), self.handle.loaded());
         let (waiting, flights, verdicts) = identity.sizes();
         let tally = identity.tally();
         json!({
@@ -65,8 +64,8 @@
             "inbox": context.inbox,
             "longest_batch_ms": context.longest_batch as f64 / 1e3,
             "answers": {
-                "taken": counts.accepted, "served": counts.served, "refused": counts.rejected,
-                "failed": counts.failed, "denied": counts.denied, "left": counts.abandoned,
+                "taken": stats.accepted, "served": stats.served, "refused": stats.rejected,
+                "failed": stats.failed, "denied": stats.denied, "left": stats.abandoned,
             },
             "reasons": context.observed.reasons(),
             "latency_ms": context.observed.latencies(),
