--- a/crates/frostgauged/tests/agreed.rs
+++ b/crates/frostgauged/tests/agreed.rs
@@ -78,9 +78,14 @@
     let mut other = settings.clone();
     other["accord"]["keepers"] = json!([1, 2, 3]);
     other["accord"]["links"].as_array_mut().expect("a list").push(json!(free().to_string()));
-    refused(&folder, &other, Some(&rules), "accord.keepers: gateway 0 is not among them");
+    refused(
+        &folder,
+        &other,
+        Some(&rules),
+        "accord.keepers: gateway 0 is not listed; only a listed gateway can bootstrap the fleet",
+    );
     other.as_object_mut().expect("an object").remove("accord");
-    refused(&folder, &other, Some(&rules), "accord: is missing");
+    refused(&folder, &other, Some(&rules), "accord: the section is missing; bootstrapping a fleet needs it");
 }
 
 #[test]
--- a/crates/gateway/src/daemon/bootstrap.rs
+++ b/crates/gateway/src/daemon/bootstrap.rs
@@ -1,12 +1,12 @@
-//! Bootstraps a fleet: writes the first record into a voter's folder.
+//! Bootstraps a fleet: writes the first version of the rules into a voter's folder.
 
 use super::error::BootstrapError;
 use super::exit;
 use frostgauge_settings::{load, load_rules, Faults};
 use std::path::Path;
 
-/// Writes the first record of a fleet into this voter's folder, from a file of rules. Returns the exit code; errors are
-/// printed on standard error.
+/// Bootstraps a fleet: writes the rules of a file as the first version into this voter's folder. Returns the exit code;
+/// errors are printed on standard error.
 pub fn bootstrap(config: &Path, rules: &Path) -> u8 {
     match write_record(config, rules) {
         Ok(()) => exit::DONE,
--- a/crates/gateway/src/daemon/error.rs
+++ b/crates/gateway/src/daemon/error.rs
@@ -7,27 +7,27 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// A listening socket could not be opened.
-    #[error("{setting} {address}: {source}")]
+    #[error("{setting}: cannot listen on {address}: {source}")]
     Listen {
         /// Path of the setting with the address.
         setting: &'static str,
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The socket for datagrams between gateways could not be opened.
-    #[error("fleet.peers[{gateway}] {address}: {source}")]
+    #[error("fleet.peers[{gateway}]: cannot bind {address}: {source}")]
     PeerSocket {
         /// Number of this gateway.
         gateway: usize,
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
     /// Signals could not be subscribed to.
-    #[error("signals: {0}")]
+    #[error("cannot subscribe to signals: {0}")]
     Signals(io::Error),
     /// A thread could not be started.
     #[error("cannot start a thread: {0}")]
@@ -35,7 +35,7 @@
     /// The metrics recorder could not be installed.
     #[error("{0}")]
     Metrics(String),
-    /// The part of the fleet's agreed rules could not start.
+    /// The task that maintains the fleet's agreed rules could not be started.
     #[error("{0}")]
     FleetRules(String),
     /// The decision library rejected the settings.
@@ -43,10 +43,10 @@
     Decisions(frostgauge::SettingsError),
 }
 
-/// An error that keeps a fleet's record from being written.
+/// An error that prevents a fleet from being bootstrapped.
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// A file is not usable; the text lists its faults.
+    /// The file of settings or of rules is not usable; the text lists its faults.
     #[error("{path}: not usable:\n{faults}")]
     File {
         /// The file.
@@ -55,15 +55,17 @@
         faults: String,
     },
     /// The settings have no section for the fleet's agreed rules.
-    #[error("accord: is missing")]
+    #[error("accord: the section is missing; bootstrapping a fleet needs it")]
     SectionMissing,
-    /// This gateway is not among the voters.
-    #[error("accord.keepers: gateway {gateway} is not among them")]
+    /// This gateway is not one of the voters.
+    #[error(
+        "accord.keepers: gateway {gateway} is not listed; only a listed gateway can bootstrap the fleet"
+    )]
     NotVoter {
         /// Number of this gateway.
         gateway: usize,
     },
-    /// The record could not be written.
+    /// The first version could not be written into the voter's folder.
     #[error("{0}")]
     Record(String),
 }
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: opens sockets, handles signals, and answers the requests it has taken before it ends.
+//! The daemon: opens sockets, handles signals, and answers accepted requests before it exits.
 
 mod bootstrap;
 mod error;
@@ -27,18 +27,18 @@
 use std::time::{Duration, Instant};
 use threads::SocketThreads;
 
-/// Interval at which a shutdown checks whether every connection has its answers.
+/// Interval at which a shutdown checks whether all client connections have been closed.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a daemon ended, as an exit code.
+/// Exit codes of the daemon.
 pub mod exit {
-    /// It was told to end, and answered all it had taken.
+    /// The daemon shut down on a signal and answered every accepted request, or a fleet was bootstrapped.
     pub const DONE: u8 = 0;
-    /// It failed while running.
+    /// The daemon failed while running.
     pub const FAILED: u8 = 1;
-    /// It could not start: settings, a port in use.
+    /// The daemon could not start, for example because of faulty settings or a port in use.
     pub const START_FAILED: u8 = 2;
-    /// It was told to end, and some requests were still in flight at the end of the stated time.
+    /// The daemon shut down on a signal, and some requests were still unanswered after `limits.drain_ms`.
     pub const DRAIN_TIMEOUT: u8 = 3;
 }
 
@@ -64,6 +64,7 @@
 struct Sockets {
     clients: Async<TcpListener>,
     admin: Async<TcpListener>,
+    /// Both ends of the datagrams between gateways; `None` if the settings have no secret for them.
     peers: Option<(PeerSender, PeerReceiver)>,
 }
 
@@ -85,15 +86,15 @@
     listen(address).map_err(|source| StartError::Listen { setting, address, source })
 }
 
-/// Starts the thread that decides.
-fn start_decisions(engine: Engine) -> Result<JoinHandle<()>, StartError> {
+/// Starts the thread that runs the engine.
+fn start_engine_thread(engine: Engine) -> Result<JoinHandle<()>, StartError> {
     std::thread::Builder::new()
         .name("decisions".into())
         .spawn(move || future::block_on(engine.run()))
         .map_err(StartError::Thread)
 }
 
-/// Starts the task that accepts clients' connections until `closing`.
+/// Starts the task that accepts clients' connections until `closing` is triggered.
 fn start_front(
     clients: Async<TcpListener>,
     places: &Places,
@@ -113,8 +114,8 @@
 
 fn start(loaded: Loaded, config: &Path) -> Result<u8, StartError> {
     let clock = Clock::default();
-    // Before anything listens: a reload or shutdown requested while it starts would kill a process that does not
-    // handle signals yet.
+    // Subscribed to before any socket listens: a signal for reload or shutdown during the start would kill a process
+    // that does not handle it yet.
     let mut signals = Signals::new([Signal::Hup, Signal::Term, Signal::Int]).map_err(StartError::Signals)?;
     let gateway = loaded.file.gateway.clone();
     let sockets = Sockets::open(&loaded, clock)?;
@@ -125,27 +126,35 @@
     let places = Places::new(loaded.file.limits.connections);
     let rules = fleet_rules::start(&loaded, clock, &executor)
         .map_err(|error| StartError::FleetRules(error.to_string()))?;
-    let agreed = rules.as_ref().map(|rules| rules.rules.clone());
-    let connections = rules.as_ref().map(|rules| (rules.rules.clone(), rules.held.clone()));
-    let (engine, handle) = oauth::engine(loaded, rand::random(), clock, executor.clone(), peers, connections)
-        .map_err(StartError::Decisions)?;
+    let shared_rules = rules.as_ref().map(|rules| rules.rules.clone());
+    let rules_and_pool = rules.as_ref().map(|rules| (rules.rules.clone(), rules.held.clone()));
+    let (engine, handle) =
+        oauth::engine(loaded, rand::random(), clock, executor.clone(), peers, rules_and_pool)
+            .map_err(StartError::Decisions)?;
     if let Some(rules) = &rules {
         rules.start_maintenance(&handle, &executor);
     }
-    let decisions = start_decisions(engine)?;
+    let engine_thread = start_engine_thread(engine)?;
     if let Some(listener) = peer_listener {
         executor.spawn(listener.run(handle.inbox())).detach();
     }
     let (close, closing) = Closing::new();
     let (stop_admin, admin_closing) = Closing::new();
     executor
-        .spawn(admin::serve(sockets.admin, handle.clone(), agreed, metrics, admin_closing, executor.clone()))
+        .spawn(admin::serve(
+            sockets.admin,
+            handle.clone(),
+            shared_rules,
+            metrics,
+            admin_closing,
+            executor.clone(),
+        ))
         .detach();
     let front = start_front(sockets.clients, &places, &handle, &closing, &executor);
     tracing::info!(listen = %gateway.listen, admin = %gateway.admin, number = gateway.number, "ready");
     let code = future::block_on(async move {
         signals::until_shutdown(&mut signals, &handle, config).await;
-        tracing::info!("closing: no new connections, taken requests are answered");
+        tracing::info!("closing: accepting no new connections, answering accepted requests");
         drop(close);
         front.await;
         let code = drain(&handle, &places).await;
@@ -153,7 +162,7 @@
         code
     });
     drop(stop_admin);
-    let _ = decisions.join();
+    let _ = engine_thread.join();
     if let Some(rules) = rules {
         future::block_on(rules.leave());
         rules.end();
@@ -162,19 +171,19 @@
     Ok(code)
 }
 
-/// Waits until every connection has its answers, for the stated time at most.
+/// Waits until all client connections are closed, at most for `limits.drain_ms`; returns the exit code.
 async fn drain(handle: &Handle, places: &Places) -> u8 {
-    let end = Instant::now() + Duration::from_millis(handle.loaded().file.limits.drain_ms);
-    while Instant::now() < end {
+    let deadline = Instant::now() + Duration::from_millis(handle.loaded().file.limits.drain_ms);
+    while Instant::now() < deadline {
         if places.taken() == 0 {
-            tracing::info!("closed: every taken request was answered");
+            tracing::info!("closed: every accepted request was answered");
             return exit::DONE;
         }
         Timer::after(DRAIN_CHECK_INTERVAL).await;
     }
-    let open = handle.status().await.map_or(0, |s| s["open"].as_u64().unwrap_or(0));
-    tracing::warn!(open, "closed: the time for it was over");
-    // Connections that idle on count for nothing; requests without an answer do.
+    let open = handle.status().await.map_or(0, |status| status["open"].as_u64().unwrap_or(0));
+    tracing::warn!(open, "closed: connections are still open after limits.drain_ms; exiting");
+    // Only unanswered requests make the shutdown incomplete; idle connections that are still open do not.
     if open == 0 {
         exit::DONE
     } else {
--- a/crates/gateway/src/daemon/threads.rs
+++ b/crates/gateway/src/daemon/threads.rs
@@ -1,4 +1,4 @@
-//! The threads that serve sockets, beside the one that decides.
+//! The threads that run the tasks with sockets; the engine has a thread of its own.
 
 use super::error::StartError;
 use async_channel::Sender;
@@ -6,18 +6,18 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Fewest and most threads that serve sockets.
+/// Bounds of the number of threads that run the tasks with sockets.
 const MIN_THREADS: usize = 1;
 const MAX_THREADS: usize = 8;
 
-/// Threads that run an executor's tasks until they are stopped.
+/// Threads that run an executor's tasks until [`SocketThreads::stop`].
 pub(super) struct SocketThreads {
     stop: Sender<()>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl SocketThreads {
-    /// Starts a thread for every second core, within the bounds.
+    /// Starts one thread for every two cores, within the bounds.
     pub(super) fn start(executor: &Arc<Executor<'static>>) -> Result<SocketThreads, StartError> {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let count = (cores / 2).clamp(MIN_THREADS, MAX_THREADS);
@@ -26,7 +26,7 @@
             .map(|number| {
                 let (executor, stopped) = (executor.clone(), stopped.clone());
                 let work = move || {
-                    // An error is the stop: the sender is gone.
+                    // The receiver fails once the sender is dropped, which stops the thread.
                     let _ = async_io::block_on(executor.run(stopped.recv()));
                 };
                 std::thread::Builder::new().name(format!("sockets-{number}")).spawn(work)
@@ -36,7 +36,7 @@
         Ok(SocketThreads { stop, threads })
     }
 
-    /// Stops the threads, and waits for their ends.
+    /// Stops the threads and waits until they have ended.
     pub(super) fn stop(self) {
         drop(self.stop);
         for thread in self.threads {
--- a/crates/system-test/tests/failures.rs
+++ b/crates/system-test/tests/failures.rs
@@ -151,7 +151,7 @@
     small.site.fleet.bad_reload(0).expect("written");
     until("the fault is logged with its path", || {
         let log = small.log();
-        log.contains("not reloaded, the running set stays") && log.contains("zonez")
+        log.contains("settings not reloaded, the running settings stay in force") && log.contains("zonez")
     });
     assert_eq!(small.client().ask(&report("op-1")).status, 200);
     small.site.fleet.state().nodes[0].listed = frostgauge_system_test::fleet::Listed::Absent;
@@ -178,7 +178,7 @@
     let out = Command::new(PROGRAM).args(["daemon", "--config"]).arg(config).output().expect("it runs");
     assert_eq!(out.status.code(), Some(2));
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(said.contains(&format!("gateway.listen {}", small.door())), "{said}");
+    assert!(said.contains(&format!("gateway.listen: cannot listen on {}", small.door())), "{said}");
 }
 
 #[test]
