--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -1,4 +1,4 @@
-//! Something ends in a gateway with a settings file while something else is still owed.
+//! A call still ends correctly when its route or its client disappears before an attempt is sent.
 
 mod common;
 
@@ -18,15 +18,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Longer than any step takes.
 const LONG: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_request_read_by_settings_that_are_replaced_before_its_turn_has_its_answer() {
+fn a_call_is_answered_after_a_reload_removed_its_route() {
     let executor = Arc::new(Executor::new());
     let clock = Clock::default();
     let (engine, handle) = engine(settings(), 1, clock, executor.clone(), None, None).expect("an engine");
-    let mut without = settings();
-    without.routes.clear();
+    let mut without_routes = settings();
+    without_routes.routes.clear();
     let (reply, answer) = async_channel::bounded(1);
     let head = Head::request(b"GET /claims/1 HTTP/1.1\r\nhost: x\r\n\r\n").expect("a head");
     let token = Token::new("t.vale.1").expect("a token");
@@ -39,41 +40,41 @@
         forward: Forward { head, target: "/claims/1".to_owned(), body: Vec::new(), client: None },
         reply,
     };
-    // Nobody answers for tokens here: the gateway says so, in words.
-    let got = block_on(executor.run(async {
-        handle.send(Message::Host(HostEvent::Reload(Arc::new(without)))).await;
+    // There is no introspection server, so that the gateway itself answers.
+    let reply = block_on(executor.run(async {
+        handle.send(Message::Host(HostEvent::Reload(Arc::new(without_routes)))).await;
         handle.send(Message::Call(Box::new(call))).await;
         let _running = executor.spawn(engine.run());
         answer.recv().await
     }));
-    assert!(matches!(got, Ok(Reply::Gateway(_))), "{got:?}");
+    assert!(matches!(reply, Ok(Reply::Gateway(_))), "{reply:?}");
 }
 
 #[test]
-fn a_client_gone_before_its_connection_stands_has_no_attempt() {
+fn no_request_is_sent_for_a_disconnected_client() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let to = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("an address");
     let pool = Pool::new(1, LONG);
     let limits = Limits { line: 1024, fields: 8, head: 1024, body: 1024 };
-    for there in [false, true] {
+    for connected in [false, true] {
         let (reply, answer) = async_channel::bounded(1);
-        let answer = Some(answer).filter(|_| there);
+        let answer = Some(answer).filter(|_| connected);
         let request = OutgoingRequest {
             bytes: b"GET / HTTP/1.1\r\nhost: a\r\n\r\n".to_vec(),
             to_head: false,
             final_check: None,
             client: Some(Client::of(&reply)),
         };
-        let soon = Instant::now() + if there { Duration::from_millis(50) } else { LONG };
-        let ended = block_on(attempt(&Pooled(&pool, to), request, &limits, LONG, soon));
-        // With its client there the same request goes out, and has no answer.
-        assert_eq!(ended.status, if there { Status::Timeout } else { Status::NotSent });
+        let deadline = Instant::now() + if connected { Duration::from_millis(50) } else { LONG };
+        let outcome = block_on(attempt(&Pooled(&pool, address), request, &limits, LONG, deadline));
+        // With a connected client the same request is sent; the listener never responds.
+        assert_eq!(outcome.status, if connected { Status::Timeout } else { Status::NotSent });
         drop(answer);
     }
     drop(pool);
-    let mut seen = Vec::new();
-    listener.accept().expect("a connection").0.read_to_end(&mut seen).expect("the end");
-    assert!(seen.starts_with(b"GET"), "the kept connection carried the second one alone");
-    listener.set_nonblocking(true).expect("set");
-    assert!(listener.accept().is_err(), "there was one connection");
+    let mut received = Vec::new();
+    listener.accept().expect("a connection").0.read_to_end(&mut received).expect("the end of the stream");
+    assert!(received.starts_with(b"GET"), "the kept connection carried only the second request");
+    listener.set_nonblocking(true).expect("non-blocking mode");
+    assert!(listener.accept().is_err(), "both attempts used the same connection");
 }
--- a/crates/gateway/tests/pages.rs
+++ b/crates/gateway/tests/pages.rs
@@ -1,5 +1,5 @@
-//! The gateway in process: its answers to requests that it turns away, and the keys of its staff pages, compared with
-//! recorded ones.
+//! A gateway in this process: its answers to requests that it rejects, and the keys of its status and metrics pages, are
+//! compared with recorded ones.
 
 mod common;
 #[path = "../../../tests/common/fixture.rs"]
@@ -23,16 +23,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; only a failing test waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any step takes; only a failing test waits so long.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running gateway; it lives as long as the test's process.
+/// A running gateway; it runs until the test process exits.
 struct Gateway {
-    clients: SocketAddr,
-    staff: SocketAddr,
+    client_address: SocketAddr,
+    admin_address: SocketAddr,
 }
 
-fn bound() -> (Async<TcpListener>, SocketAddr) {
+/// A listener on a free port, and its address.
+fn listen_on_loopback() -> (Async<TcpListener>, SocketAddr) {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
     (listener, address)
@@ -40,7 +41,8 @@
 
 impl Gateway {
     fn start() -> Gateway {
-        let ((clients, clients_at), (staff, staff_at)) = (bound(), bound());
+        let ((clients, client_address), (admin_listener, admin_address)) =
+            (listen_on_loopback(), listen_on_loopback());
         std::thread::spawn(move || {
             let executor = Arc::new(Executor::new());
             let (engine, handle) =
@@ -48,28 +50,37 @@
             executor.spawn(engine.run()).detach();
             let (_close, closing) = Closing::new();
             let metrics = admin::metrics().expect("metrics");
-            let pages = admin::serve(staff, handle.clone(), None, metrics, closing.clone(), executor.clone());
+            let pages = admin::serve(
+                admin_listener,
+                handle.clone(),
+                None,
+                metrics,
+                closing.clone(),
+                executor.clone(),
+            );
             executor.spawn(pages).detach();
             block_on(executor.run(serve(clients, handle, closing, &executor)));
         });
-        Gateway { clients: clients_at, staff: staff_at }
+        Gateway { client_address, admin_address }
     }
 
-    /// Sends a request; the answer, to the end of the connection.
-    fn say(&self, request: &str) -> String {
-        let mut stream = TcpStream::connect(self.clients).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    /// Sends a request and reads the response to the end of the connection.
+    fn send(&self, request: &str) -> String {
+        let mut stream = TcpStream::connect(self.client_address).expect("connected");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         stream.write_all(request.replace('\n', "\r\n").as_bytes()).expect("written");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        answer
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("a response");
+        response
     }
 
+    /// Fetches a page from the administrative address.
     fn page(&self, path: &str) -> String {
-        block_on(admin::fetch(self.staff, path, PATIENCE)).expect("a page")
+        block_on(admin::fetch(self.admin_address, path, TIMEOUT)).expect("a page")
     }
 }
 
+/// Serves clients as the daemon does.
 async fn serve(
     clients: Async<TcpListener>,
     handle: Handle,
@@ -83,15 +94,15 @@
     .await;
 }
 
-/// A request that says that its connection ends with it.
-fn request(first: &str, fields: &str) -> String {
-    format!("{first} HTTP/1.1\nhost: a\nconnection: close\n{fields}\n")
+/// A request after which its connection closes; `method_and_target` as in `GET /`.
+fn request(method_and_target: &str, fields: &str) -> String {
+    format!("{method_and_target} HTTP/1.1\nhost: a\nconnection: close\n{fields}\n")
 }
 
 const TOKEN: &str = "authorization: Bearer t.vale.1\n";
 
 #[test]
-fn requests_turned_away_have_the_recorded_answers() {
+fn rejected_requests_have_the_recorded_answers() {
     let gateway = Gateway::start();
     let requests = [
         ("route", request("GET /nowhere", TOKEN)),
@@ -104,15 +115,15 @@
         ("request", request("GET /claims/7", "content-length: many\n")),
     ];
     let encoded = requests
-        .map(|(name, request)| (name, gateway.say(&request).replace('\r', "\\r").replace('\n', "\\n")));
+        .map(|(name, request)| (name, gateway.send(&request).replace('\r', "\\r").replace('\n', "\\n")));
     assert_recorded(include_str!("fixtures/turned_away.txt"), &encoded);
 }
 
 #[test]
 fn the_status_page_has_the_recorded_keys() {
     let gateway = Gateway::start();
-    // An answer of its own, since nobody answers for tokens here: counts and latencies have rows then.
-    gateway.say(&request("GET /claims/7", TOKEN));
+    // There is no introspection server, so that the gateway answers itself; then counts and latencies have rows.
+    gateway.send(&request("GET /claims/7", TOKEN));
     let status: Value = serde_json::from_str(&gateway.page("/status")).expect("JSON");
     let keys = paths_of_members(&status);
     assert_eq!(keys, lines_of(include_str!("fixtures/status_keys.txt")), "{keys:#?}");
@@ -121,18 +132,18 @@
 #[test]
 fn the_metrics_page_has_the_recorded_names() {
     let gateway = Gateway::start();
-    gateway.say(&request("GET /claims/7", TOKEN));
-    gateway.say(&request("GET /nowhere", TOKEN));
+    gateway.send(&request("GET /claims/7", TOKEN));
+    gateway.send(&request("GET /nowhere", TOKEN));
     let expected = lines_of(include_str!("fixtures/metrics.txt"));
-    // Gauges are published now and then.
-    let end = Instant::now() + PATIENCE;
+    // Gauges are published at intervals.
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let names = names_of_metrics(&gateway.page("/metrics"));
         if expected.is_subset(&names) {
             return;
         }
         let missing: Vec<_> = expected.difference(&names).collect();
-        assert!(Instant::now() < end, "missing {missing:?} of {names:#?}");
+        assert!(Instant::now() < deadline, "missing {missing:?} of {names:#?}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that the gateway writes to nodes and to clients, compared with recorded ones.
+//! The bytes that the gateway sends to servers and to clients, compared with recorded ones.
 
 #[path = "../../../tests/common/fixture.rs"]
 mod fixture;
@@ -13,18 +13,19 @@
 use frostgauge_proto::http::Head;
 use std::collections::BTreeSet;
 
-/// Bytes on one line: line ends are written as `\r\n`.
+/// The bytes as one line of text, with CR and LF escaped.
 fn one_line(bytes: Vec<u8>) -> String {
     String::from_utf8(bytes).expect("text").replace('\r', "\\r").replace('\n', "\\n")
 }
 
+/// The forwarded request, as one line, for a client's request head and content.
 fn forwarded(head: &str, body: &[u8], client: Option<&str>) -> String {
     let head = Head::request(head.replace('\n', "\r\n").as_bytes()).expect("a head");
     let target = head.target().to_owned();
     let client = client.map(|address| address.parse().expect("an address"));
     let forward = Forward { head, target, body: body.to_vec(), client };
-    let to = "127.0.0.1:7201".parse().expect("an address");
-    one_line(forward.bytes(to, "serra", "0-1f-3", 2, 0x1234))
+    let server = "127.0.0.1:7201".parse().expect("an address");
+    one_line(forward.bytes(server, "serra", "0-1f-3", 2, 0x1234))
 }
 
 #[test]
@@ -47,8 +48,9 @@
     assert_eq!(NOT_RUN_FIELD, "frostgauge-not-run");
 }
 
-fn finals() -> Vec<GatewayAnswer> {
-    let whys = [
+/// Every answer that the gateway generates itself.
+fn gateway_answers() -> Vec<GatewayAnswer> {
+    let reject_reasons = [
         RejectReason::Quota,
         RejectReason::Ceiling,
         RejectReason::Overloaded,
@@ -61,26 +63,26 @@
     let denied = [Denied::Missing, Denied::Malformed, Denied::Invalid, Denied::Scope];
     let failed = [Failed::ServerError, Failed::ConnectionBroken, Failed::Timeout];
     let retry_after = 1_250_000;
-    let mut all: Vec<GatewayAnswer> = denied.map(GatewayAnswer::Denied).to_vec();
-    all.extend([GatewayAnswer::UnknownTenant, GatewayAnswer::NotAllowed]);
-    all.extend([
+    let mut answers: Vec<GatewayAnswer> = denied.map(GatewayAnswer::Denied).to_vec();
+    answers.extend([GatewayAnswer::UnknownTenant, GatewayAnswer::NotAllowed]);
+    answers.extend([
         GatewayAnswer::FallbackRulesOnly { retry_after },
         GatewayAnswer::TokenUnverified { retry_after },
     ]);
-    all.extend(whys.map(|why| GatewayAnswer::Rejected { why, retry_after }));
-    all.push(GatewayAnswer::Rejected { why: RejectReason::Quota, retry_after: 0 });
-    all.extend(failed.map(GatewayAnswer::Failed));
-    all
+    answers.extend(reject_reasons.map(|why| GatewayAnswer::Rejected { why, retry_after }));
+    answers.push(GatewayAnswer::Rejected { why: RejectReason::Quota, retry_after: 0 });
+    answers.extend(failed.map(GatewayAnswer::Failed));
+    answers
 }
 
 #[test]
-fn the_gateways_own_answers_have_the_recorded_fields_and_content() {
-    let encoded: Vec<_> = finals()
+fn gateway_answers_have_the_recorded_fields_and_content() {
+    let encoded: Vec<_> = gateway_answers()
         .iter()
         .map(|answer| {
-            let own = answer.http("frostgauge", "claims");
-            let fields: Vec<_> = own.fields.iter().map(|(name, value)| format!("{name}: {value}")).collect();
-            let value = format!("{} | {} | {}", own.status, fields.join(" | "), one_line(own.body));
+            let http = answer.http("frostgauge", "claims");
+            let fields: Vec<_> = http.fields.iter().map(|(name, value)| format!("{name}: {value}")).collect();
+            let value = format!("{} | {} | {}", http.status, fields.join(" | "), one_line(http.body));
             (answer.reason(), value)
         })
         .collect();
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn the_field_of_the_rules_has_its_name_and_values() {
+fn the_rules_field_has_the_expected_name_and_values() {
     assert_eq!(RULES_FIELD, "frostgauge-rules");
     assert_eq!(stamp(&RuleSource::Lease(BTreeSet::from([3, 2]), 9)), "lease 2 3");
     assert_eq!(stamp(&RuleSource::Fallback(Some(2))), "ground 2");
