--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -128,7 +128,7 @@
     fleet_rules: Option<FleetRules>,
     /// Connections to servers under the fleet's budgets; used in place of `pool` where there are fleet rules.
     budgeted_pool: Option<Arc<BudgetedPool>>,
-    /// Tokens with a pending introspection, by name.
+    /// Tokens by name; those without a pending introspection are dropped at each sweep.
     tokens: BTreeMap<TokenName, Token>,
     /// Random key from which the names of tokens are derived.
     token_name_key: [u8; 32],
--- a/crates/gateway/src/upstream/budgeted_pool/path.rs
+++ b/crates/gateway/src/upstream/budgeted_pool/path.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The way to a server for one request, by a pool with connection budgets.
+/// The connections to one server for one request, from a pool with connection budgets.
 #[derive(Debug)]
 pub struct BudgetedPath {
     pool: Arc<BudgetedPool>,
@@ -138,7 +138,7 @@
         let now = self.pool.rules.now();
         let Some(permit) = connection.held.permit.take() else { return };
         if !self.pool.rules.guard().may_use(now, &permit) {
-            // The gateway has more connections than permits; dropping the connection closes it.
+            // The gateway has more connections than permits, or is leaving; dropping the connection closes it.
             connection.held.permit = Some(permit);
             return;
         }
