--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -7,7 +7,7 @@
 use crate::log::Throttle;
 use crate::observe::AnswerStats;
 use crate::reply::GatewayAnswer;
-use crate::upstream::Ended;
+use crate::upstream::AttemptOutcome;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use frostgauge::{ServerId, Status};
@@ -159,14 +159,14 @@
         /// Number of the attempt within the call.
         attempt: u32,
         /// The result.
-        ended: Ended,
+        ended: AttemptOutcome,
     },
     /// A probe ended.
     Probed {
         /// The probed server.
         server: ServerId,
         /// The result.
-        ended: Ended,
+        ended: AttemptOutcome,
     },
     /// A message from another gateway arrived.
     PeerMessage {
@@ -365,12 +365,12 @@
         now: Micros,
         call_id: CallId,
         attempt: u32,
-        ended: Ended,
+        ended: AttemptOutcome,
         out: &mut Vec<Command>,
     ) {
         let Some(running) = self.running.remove(&(call_id, attempt)) else { return };
         self.host.attempt_ended(running.server);
-        let Ended { status, response, used, load } = ended;
+        let AttemptOutcome { status, response, quota_use: used, load } = ended;
         let elapsed = now.saturating_sub(running.sent);
         if let Some(open) = self.calls.get_mut(&call_id).filter(|_| status.may_have_run()) {
             open.first_run_sent_at.get_or_insert(running.sent);
@@ -390,7 +390,7 @@
         if let Some(offset) = out[first_new..].iter().position(|command| *command == deliver) {
             out.remove(first_new + offset);
             if let (Some(response), Some(OpenCall { call, .. })) = (response, self.calls.remove(&call_id)) {
-                self.answer_stats.answer("served", "served", now.saturating_sub(call.arrived));
+                self.answer_stats.record("served", "served", now.saturating_sub(call.arrived));
                 let _ = call.reply.try_send(Reply::Server(response));
             }
         }
@@ -445,8 +445,8 @@
         let Some(OpenCall { call, .. }) = self.calls.remove(&call_id) else { return };
         let now = self.clock.now();
         let (kind, reason) = (answer_kind(&answer), answer.reason());
-        self.answer_stats.answer(kind, reason, now.saturating_sub(call.arrived));
-        if let Some(suppressed) = self.throttle.pass(now, reason) {
+        self.answer_stats.record(kind, reason, now.saturating_sub(call.arrived));
+        if let Some(suppressed) = self.throttle.allow(now, reason) {
             tracing::info!(
                 request = call_id,
                 kind,
--- a/crates/gateway/src/fleet_rules/maintenance.rs
+++ b/crates/gateway/src/fleet_rules/maintenance.rs
@@ -2,7 +2,7 @@
 
 use super::FleetRules;
 use crate::oauth::{Handle, HostEvent, Message};
-use crate::upstream::{self, BudgetedPath, BudgetedPool, NOT_RUN};
+use crate::upstream::{self, BudgetedPath, BudgetedPool, NOT_RUN_FIELD};
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
 use async_io::Timer;
@@ -102,7 +102,7 @@
                 let connection_path = BudgetedPath::probe(&pool, server);
                 let ended = upstream::probe(&connection_path, server, &path, &limits, timeout).await;
                 if let Some(response) = ended.response {
-                    let ready = response.head.one(NOT_RUN) != Some("draining");
+                    let ready = response.head.one(NOT_RUN_FIELD) != Some("draining");
                     rules.task.guard().record_report(&address, now, ready);
                     let _ = probe_ended.try_send(());
                 }
