--- a/crates/platform-gateway/src/daemon.rs
+++ b/crates/platform-gateway/src/daemon.rs
@@ -140,7 +140,7 @@
     };
     let peers = config.peer_listen.map(open_peers).transpose()?;
     let executor = Arc::new(Executor::new());
-    let datagrams = peers.as_ref().map(|p| p.listener(config.site.settings.gateway_id));
+    let datagrams = peers.as_ref().map(|p| p.listener(config.platform_settings.settings.gateway_id));
     let (engine, handle) = host::engine(&config, clock, executor.clone(), peers)?;
     executor.spawn(engine.run()).detach();
     if let Some(datagrams) = datagrams {
@@ -159,7 +159,8 @@
     tracing::info!(name = config.name, listen = %config.listen, discovery = %config.discovery, limits = ?config.limits, "started");
     let runner = executor.clone();
     let known = config.known.clone();
-    let longest_deadline = config.site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    let longest_deadline =
+        config.platform_settings.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     let code = async_io::block_on(runner.run(async move {
         if let Some(list) = known.filter(|l| !l.instances.is_empty()) {
             handle.send(Message::Host(HostEvent::Listed(ListKind::Cached, list.instances))).await;
--- a/crates/platform-gateway/src/discovery.rs
+++ b/crates/platform-gateway/src/discovery.rs
@@ -5,7 +5,7 @@
 use async_io::Async;
 use frostgauge_gateway::engine::Message;
 use frostgauge_net::{talk, until, Timed};
-use frostgauge_platform_protocol::targets::{self, List, MAX_BYTES};
+use frostgauge_platform_protocol::targets::{self, TargetList, MAX_BYTES};
 use frostgauge_proto::http::{write_request, Body, Limits};
 use frostgauge_resource_policy::watch::{Watch, RESPONSE_SLACK_MS};
 use std::net::{SocketAddr, TcpStream};
@@ -82,7 +82,7 @@
     }
 
     /// Takes an answer, if it is the whole list or follows the known version.
-    fn accept(&mut self, list: List) -> Result<HostEvent, PollError> {
+    fn accept(&mut self, list: TargetList) -> Result<HostEvent, PollError> {
         let Some(kind) = self.watch.answered(list.reset, list.generation) else {
             return Err(PollError::Unreadable("changes to a list that is not held".to_owned()));
         };
@@ -115,7 +115,7 @@
 /// What comes first.
 enum Step {
     Moved(SocketAddr),
-    Polled(Result<List, PollError>),
+    Polled(Result<TargetList, PollError>),
 }
 
 /// Waits for discovery's next address; forever once none can come.
@@ -131,9 +131,9 @@
     watch: &Watch,
     to: SocketAddr,
     connection: &mut Option<Async<TcpStream>>,
-) -> Result<List, PollError> {
+) -> Result<TargetList, PollError> {
     let (changes, timeout_ms) = watch.next();
-    let target = targets::poll_target(changes);
+    let target = targets::poll_path_and_query(changes);
     let no_answer = |e: std::io::Error| PollError::NoAnswer(e.to_string());
     let late = || PollError::NoAnswer("no answer in time".to_owned());
     let stream = match connection.take() {
@@ -163,7 +163,7 @@
     if response.head.status() != 200 {
         return Err(PollError::NoAnswer(format!("status {}", response.head.status())));
     }
-    let list = List::read(&response.body).map_err(|error| PollError::Unreadable(error.to_string()))?;
+    let list = TargetList::read(&response.body).map_err(|error| PollError::Unreadable(error.to_string()))?;
     *connection = keep.then_some(stream);
     Ok(list)
 }
--- a/crates/platform-gateway/src/host.rs
+++ b/crates/platform-gateway/src/host.rs
@@ -14,7 +14,7 @@
 use frostgauge_gateway::upstream::Ended;
 use frostgauge_platform_protocol::config::Config;
 use frostgauge_platform_protocol::request::Request;
-use frostgauge_platform_protocol::settings::Site;
+use frostgauge_platform_protocol::settings::PlatformSettings;
 use frostgauge_platform_protocol::targets::Target;
 use frostgauge_resource_policy::shares::{Shares, DEFAULT_MAX_IN_FLIGHT};
 use frostgauge_resource_policy::timeouts;
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Front {
     /// The settings.
-    pub site: Site,
+    pub site: PlatformSettings,
     /// Permits of clients' connections.
     pub permits: ConnectionPermits,
     /// Bytes of content that may be held for clients.
@@ -97,11 +97,11 @@
     executor: Arc<Executor<'static>>,
     peers: Option<Peers>,
 ) -> Result<(Engine, Handle), frostgauge::SettingsError> {
-    let (now, site) = (clock.now(), &config.site);
+    let (now, site) = (clock.now(), &config.platform_settings);
     let shares = Shares::of(config.limits.sockets, config.limits.memory_mb);
     let max_in_flight = if site.max_in_flight > 0 { site.max_in_flight } else { DEFAULT_MAX_IN_FLIGHT };
     let core = Core::without_tokens(site.settings.clone(), max_in_flight, config.seed, now)?;
-    let times = timeouts::ConnectionTimeouts::of(site.connect, site.idle, site.drain_grace);
+    let times = timeouts::ConnectionTimeouts::of(site.connect_timeout, site.idle_timeout, site.drain_grace);
     let front = Front {
         site: site.clone(),
         permits: ConnectionPermits::new(shares.clients, shares.idle),
--- a/crates/platform-gateway/src/server_table.rs
+++ b/crates/platform-gateway/src/server_table.rs
@@ -1,7 +1,7 @@
 //! The servers that discovery listed, and their addresses.
 
 use frostgauge::{ListKind, ServerId, ServerState};
-use frostgauge_platform_protocol::settings::Site;
+use frostgauge_platform_protocol::settings::PlatformSettings;
 use frostgauge_platform_protocol::targets::Target;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 impl ServerTable {
     /// Applies a list, or changes to the known one. Returns the servers to which no connection may be kept: those that
     /// are gone, have restarted or have moved.
-    pub fn listed(&mut self, site: &Site, kind: ListKind, targets: &[Target]) -> Vec<ServerId> {
+    pub fn listed(&mut self, site: &PlatformSettings, kind: ListKind, targets: &[Target]) -> Vec<ServerId> {
         if kind != ListKind::Delta {
             for known in self.servers.values_mut() {
                 known.listed = false;
@@ -32,7 +32,7 @@
         }
         let mut forget = Vec::new();
         for target in targets {
-            let (server, gone) = (target.server(), target.entry(site).state == ServerState::Removed);
+            let (server, gone) = (target.server_id(), target.entry(site).state == ServerState::Removed);
             let Some(address) = target.address.filter(|_| !gone) else {
                 self.servers.entry(server).and_modify(|known| known.listed = false);
                 continue;
--- a/crates/platform-gateway/src/upstream.rs
+++ b/crates/platform-gateway/src/upstream.rs
@@ -5,7 +5,7 @@
 use frostgauge::{Load, ServerId, Status};
 use frostgauge_gateway::upstream::Ended;
 use frostgauge_net::{exhausted, receive, until, Response, Timed};
-use frostgauge_platform_protocol::{answer, request, settings::Site};
+use frostgauge_platform_protocol::{answer, request, settings::PlatformSettings};
 use frostgauge_proto::http::{write_request, Body, Head, Limits};
 use frostgauge_resource_policy::timeouts;
 use futures_lite::future::or;
@@ -87,7 +87,7 @@
 /// for the time that is left; `gone` completes once the client has disconnected.
 pub async fn attempt(
     pool: &ConnectionPool,
-    site: &Site,
+    site: &PlatformSettings,
     target: (ServerId, SocketAddr),
     request: impl Fn(Duration) -> Vec<u8>,
     times: Times,
@@ -104,7 +104,7 @@
     }
 }
 
-fn ended(site: &Site, response: Response) -> Ended {
+fn ended(site: &PlatformSettings, response: Response) -> Ended {
     let head = &response.head;
     let (status, used, load) = (answer::status(head), answer::usage(head), answer::load_report(site, head));
     Ended { status, response: Some(Box::new(response)), used, load }
@@ -215,7 +215,7 @@
 /// Probes a server: its load where there are reports, else its health.
 pub async fn probe(
     pool: &ConnectionPool,
-    site: &Site,
+    site: &PlatformSettings,
     (server, to): (ServerId, SocketAddr),
     times: Times,
 ) -> Ended {
--- a/crates/platform-gateway/tests/attempts.rs
+++ b/crates/platform-gateway/tests/attempts.rs
@@ -6,7 +6,7 @@
 use frostgauge_gateway::upstream::Ended;
 use frostgauge_platform_gateway::pool::ConnectionPool;
 use frostgauge_platform_gateway::upstream::{attempt, probe, Times};
-use frostgauge_platform_protocol::settings::{self, Column, Site};
+use frostgauge_platform_protocol::settings::{self, Column, PlatformSettings};
 use futures_lite::future::poll_once;
 use std::future::{pending, Future};
 use std::io::{ErrorKind, Read, Write};
@@ -20,7 +20,7 @@
 /// Longer than anything here takes; only a failing test waits so long.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn site() -> Site {
+fn site() -> PlatformSettings {
     let object = serde_json::json!({
         "me": 0, "siblings": 1, "az": 0, "tickUs": 2000, "classes": [], "plans": [], "stats": {},
         "familyInfo": {}, "limits": {"maxRetryAfterUs": 0, "attemptsCap": 1},
--- a/crates/platform-gateway/tests/bounds.rs
+++ b/crates/platform-gateway/tests/bounds.rs
@@ -112,15 +112,15 @@
         let changes: Vec<Target> = std::iter::once(target(k, Lifecycle::Up)).chain(gone).collect();
         let forget = table.listed(&site, ListKind::Delta, &changes);
         assert_eq!(forget.is_empty(), k < 10);
-        table.sent(target(k, Lifecycle::Up).server());
+        table.sent(target(k, Lifecycle::Up).server_id());
         // Attempts end long after their servers have gone.
         if let Some(k) = k.checked_sub(25) {
-            table.over(target(k, Lifecycle::Up).server());
+            table.over(target(k, Lifecycle::Up).server_id());
         }
         assert!(table.len() <= 25, "{}", table.len());
     }
     for k in 9_975..10_000_u32 {
-        table.over(target(k, Lifecycle::Up).server());
+        table.over(target(k, Lifecycle::Up).server_id());
     }
     assert_eq!(table.len(), 10);
     table.listed(&site, ListKind::Full, &[]);
@@ -134,10 +134,10 @@
     assert!(table.listed(&site, ListKind::Full, std::slice::from_ref(&one)).is_empty());
     assert!(table.listed(&site, ListKind::Full, std::slice::from_ref(&one)).is_empty());
     let anew = Target { started_ms: 7, ..one.clone() };
-    assert_eq!(table.listed(&site, ListKind::Delta, std::slice::from_ref(&anew)), [one.server()]);
+    assert_eq!(table.listed(&site, ListKind::Delta, std::slice::from_ref(&anew)), [one.server_id()]);
     let moved = Target { address: target(2, Lifecycle::Up).address, ..anew };
-    assert_eq!(table.listed(&site, ListKind::Delta, std::slice::from_ref(&moved)), [one.server()]);
-    assert_eq!(table.address(one.server()), moved.address);
+    assert_eq!(table.listed(&site, ListKind::Delta, std::slice::from_ref(&moved)), [one.server_id()]);
+    assert_eq!(table.address(one.server_id()), moved.address);
 }
 
 fn settings() -> serde_json::Value {
--- a/crates/platform-protocol/src/answer.rs
+++ b/crates/platform-protocol/src/answer.rs
@@ -1,6 +1,6 @@
 //! What a server's response proves about its request, and what it reports of load and usage.
 
-use crate::settings::{Column, Site};
+use crate::settings::{Column, PlatformSettings};
 use frostgauge::{Load, Status};
 use frostgauge_proto::http::Head;
 
@@ -30,19 +30,19 @@
 }
 
 /// The load report in a response's head.
-pub fn load_report(site: &Site, head: &Head) -> Option<Load> {
-    load(site, head.one(LOAD_FIELD)?.as_bytes())
+pub fn load_report(platform: &PlatformSettings, head: &Head) -> Option<Load> {
+    load(platform, head.one(LOAD_FIELD)?.as_bytes())
 }
 
 /// Reads a load report, a JSON object of the columns that the settings name; what is unreadable counts as missing.
-pub fn load(site: &Site, json: &[u8]) -> Option<Load> {
+pub fn load(platform: &PlatformSettings, json: &[u8]) -> Option<Load> {
     let rows: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(json).ok()?;
     let mut load = Load::default();
     for (name, value) in &rows {
-        let column = Column::named(name);
+        let column = Column::from_name(name);
         let value = value.as_f64().filter(|v| v.is_finite() && *v >= 0.0);
-        if site.columns.contains(&column) {
-            column.put(&mut load, value);
+        if platform.columns.contains(&column) {
+            column.set_value(&mut load, value);
         }
     }
     (load != Load::default()).then_some(load)
--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file that a gateway is started with, as JSON.
 
-use crate::settings::{self, ReadError, Site};
-use crate::targets::List;
+use crate::settings::{self, PlatformSettings, ReadError};
+use crate::targets::TargetList;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     #[serde(default)]
-    known: Option<List>,
+    known: Option<TargetList>,
     settings: serde_json::Value,
 }
 
@@ -55,9 +55,9 @@
     /// The datagram addresses of all gateways, this one's included, by number.
     pub peers: Vec<SocketAddr>,
     /// The list of servers as last known, perhaps outdated.
-    pub known: Option<List>,
+    pub known: Option<TargetList>,
     /// The settings.
-    pub site: Site,
+    pub platform_settings: PlatformSettings,
 }
 
 /// Why a configuration is not valid.
@@ -106,12 +106,12 @@
         let file: File = serde_path_to_error::deserialize(&mut json)?;
         json.end()?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed)?;
-        let site = settings::read(&file.settings)?;
+        let platform_settings = settings::read(&file.settings)?;
         if file.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::Sockets(file.limits.sockets));
         }
-        let (addresses, gateways) = (file.peers.len(), site.settings.gateways);
-        let has_peers = site.settings.capabilities.peers && file.peer_listen.is_some();
+        let (addresses, gateways) = (file.peers.len(), platform_settings.settings.gateways);
+        let has_peers = platform_settings.settings.capabilities.peers && file.peer_listen.is_some();
         if has_peers && addresses != gateways {
             return Err(ConfigError::Peers { addresses, gateways });
         }
@@ -124,7 +124,7 @@
             peer_listen: file.peer_listen.filter(|_| has_peers),
             peers: file.peers,
             known: file.known,
-            site,
+            platform_settings,
         })
     }
 }
--- a/crates/platform-protocol/src/request.rs
+++ b/crates/platform-protocol/src/request.rs
@@ -1,7 +1,7 @@
 //! Validation of a client's request: an invalid one is rejected here and reaches neither the decisions nor a server, so
 //! that it uses nobody's quota.
 
-use crate::settings::Site;
+use crate::settings::PlatformSettings;
 use frostgauge::{CustomerId, Effect, Micros};
 use frostgauge_proto::http::Head;
 
@@ -68,13 +68,13 @@
 ///
 /// # Errors
 /// The status and reason to answer with: a field is missing, repeated, out of range or no number.
-pub fn read(site: &Site, head: &Head, has_content: bool) -> Result<Request, Rejection> {
+pub fn read(platform: &PlatformSettings, head: &Head, has_content: bool) -> Result<Request, Rejection> {
     let path = head.target().split('?').next().unwrap_or("");
     let class_name = path.strip_prefix('/').and_then(|p| p.split('/').next()).unwrap_or("");
-    let class = site.classes.iter().position(|c| c == class_name);
+    let class = platform.classes.iter().position(|c| c == class_name);
     let class = class.ok_or(Rejection { status: 404, reason: "no such class" })?;
     // The class fixes the method: a safe one comes as GET without content, any other as POST.
-    let safe = matches!(site.settings.classes.get(class).map(|c| c.effect), Some(Effect::Idempotent));
+    let safe = matches!(platform.settings.classes.get(class).map(|c| c.effect), Some(Effect::Idempotent));
     if head.method() != if safe { "GET" } else { "POST" } {
         return Err(Rejection { status: 405, reason: "not this class's method" });
     }
@@ -83,11 +83,11 @@
     }
     let id = head.one(ID_FIELD).filter(|id| (1..=MAX_ID_LENGTH).contains(&id.len()));
     let id = id.filter(|id| id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_'));
-    let plan = head.one(PLAN_FIELD).and_then(|name| site.plans.iter().position(|p| p == name));
+    let plan = head.one(PLAN_FIELD).and_then(|name| platform.plans.iter().position(|p| p == name));
     let weight = head.one(WEIGHT_FIELD).ok_or(bad("X-Weight is missing or repeated"))?;
     let Weight { units, subset_size, subset_start } =
-        Weight::read(site, weight).ok_or(bad("X-Weight is out of range or no number"))?;
-    let max_timeout = site.settings.classes.get(class).map_or(0, |c| c.deadline);
+        Weight::read(platform, weight).ok_or(bad("X-Weight is out of range or no number"))?;
+    let max_timeout = platform.settings.classes.get(class).map_or(0, |c| c.deadline);
     Ok(Request {
         id: id.ok_or(bad("X-Txn is missing, repeated or no id"))?.into(),
         class,
@@ -134,7 +134,7 @@
 impl Weight {
     /// Reads a list of `name=value`; `None` if a value is missing, repeated or out of range, or if the subset lacks
     /// this gateway, since customers are sent nowhere else.
-    fn read(site: &Site, text: &str) -> Option<Weight> {
+    fn read(platform: &PlatformSettings, text: &str) -> Option<Weight> {
         let (mut units, mut subset_size, mut subset_start) = (None, None, None);
         for part in text.split(',') {
             let (name, value) = part.split_once('=')?;
@@ -149,17 +149,17 @@
             }
         }
         let weight = Weight { units: units?, subset_size: subset_size?, subset_start: subset_start? };
-        weight.is_valid(site).then_some(weight)
+        weight.is_valid(platform).then_some(weight)
     }
 
-    fn is_valid(&self, site: &Site) -> bool {
-        let gateways = site.settings.gateways;
-        let max_units = if site.max_units > 0.0 { site.max_units } else { f64::MAX };
+    fn is_valid(&self, platform: &PlatformSettings) -> bool {
+        let gateways = platform.settings.gateways;
+        let max_units = if platform.max_units > 0.0 { platform.max_units } else { f64::MAX };
         let is_in_range = self.units > 0.0
             && self.units <= max_units
             && (1..=gateways).contains(&self.subset_size)
             && self.subset_start < gateways;
-        let offset = (site.settings.gateway_id + gateways).checked_sub(self.subset_start);
+        let offset = (platform.settings.gateway_id + gateways).checked_sub(self.subset_start);
         is_in_range && offset.is_some_and(|offset| offset % gateways < self.subset_size)
     }
 }
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -68,7 +68,7 @@
 
 impl Column {
     /// The column of a name in settings and reports.
-    pub fn named(name: &str) -> Column {
+    pub fn from_name(name: &str) -> Column {
         match name {
             "outstanding" | "inflight" => Column::Inflight,
             "backlog" | "queue" => Column::Queue,
@@ -79,7 +79,7 @@
     }
 
     /// Sets the column's value in a report.
-    pub fn put(self, load: &mut Load, value: Option<f64>) {
+    pub fn set_value(self, load: &mut Load, value: Option<f64>) {
         match self {
             Column::Inflight => load.inflight = value,
             Column::Queue => load.queue = value,
@@ -92,7 +92,7 @@
 
 /// The contents of the settings object.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct PlatformSettings {
     /// Settings of the decision library.
     pub settings: Settings,
     /// The columns of load reports, in order.
@@ -108,9 +108,9 @@
     /// Maximum number of requests in flight; 0 means that none is named.
     pub max_in_flight: usize,
     /// Servers close connections that are idle for this long, µs.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Connect timeout, µs.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// Nothing new may be sent to a draining server after this time, µs.
     pub drain_grace: Micros,
 }
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 /// The first setting that is missing or of the wrong type.
-pub fn read(info: &Value) -> Result<Site, ReadError> {
+pub fn read(info: &Value) -> Result<PlatformSettings, ReadError> {
     let root = Reader(info, String::new());
     let (limits, rules, family, stats) =
         (root.object("limits")?, root.object("rules")?, root.object("familyInfo")?, root.object("stats")?);
@@ -139,7 +139,7 @@
             collapse_time: rules.whole("tipAfterUs")?,
         },
     };
-    Ok(Site {
+    Ok(PlatformSettings {
         settings,
         columns: columns(&stats),
         classes: names(info, "classes"),
@@ -147,8 +147,8 @@
         zones: names(info, "zones"),
         max_units: family.number("maxUnits").unwrap_or(0.0),
         max_in_flight: limits.whole("maxOpen").unwrap_or(0) as usize,
-        idle: limits.whole("connIdleUs").unwrap_or(0),
-        connect: limits.whole("connectTimeoutUs").unwrap_or(0),
+        idle_timeout: limits.whole("connIdleUs").unwrap_or(0),
+        connect_timeout: limits.whole("connectTimeoutUs").unwrap_or(0),
         drain_grace: rules.whole("drainGraceUs").unwrap_or(0),
     })
 }
@@ -224,7 +224,7 @@
 fn columns(stats: &Reader) -> Vec<Column> {
     let columns = stats.0.get("columns").and_then(Value::as_array);
     let names = columns.into_iter().flatten().map(|name| name.as_str().unwrap_or(""));
-    names.map(Column::named).collect()
+    names.map(Column::from_name).collect()
 }
 
 /// The names in a list of names, or of objects with a `name`.
--- a/crates/platform-protocol/src/targets.rs
+++ b/crates/platform-protocol/src/targets.rs
@@ -1,6 +1,6 @@
 //! The list of servers in discovery's format.
 
-use crate::settings::Site;
+use crate::settings::PlatformSettings;
 use frostgauge::{ServerEntry, ServerId, ServerState};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
 
 /// A response of discovery: the list or changes to it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-pub struct List {
+pub struct TargetList {
     /// The list's version.
     pub generation: u64,
     /// It is the whole list rather than changes.
@@ -71,12 +71,12 @@
     Trailing(#[from] serde_json::Error),
 }
 
-impl List {
+impl TargetList {
     /// Reads a response's content.
     ///
     /// # Errors
     /// What is unreadable, with its path. One invalid entry makes the whole list unreadable.
-    pub fn read(text: &[u8]) -> Result<List, ListError> {
+    pub fn read(text: &[u8]) -> Result<TargetList, ListError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let list = serde_path_to_error::deserialize(&mut json)?;
         json.end()?;
@@ -86,16 +86,16 @@
 
 impl Target {
     /// A number for its id, the same at every gateway (FNV-1a).
-    pub fn server(&self) -> ServerId {
+    pub fn server_id(&self) -> ServerId {
         let hash = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
         ServerId(self.id.bytes().fold(0xcbf2_9ce4_8422_2325, hash))
     }
 
     /// Its entry for the decision library. A server without an address counts as gone.
-    pub fn entry(&self, site: &Site) -> ServerEntry {
-        let zone = site.zones.iter().position(|z| *z == self.zone);
+    pub fn entry(&self, platform: &PlatformSettings) -> ServerEntry {
+        let zone = platform.zones.iter().position(|z| *z == self.zone);
         ServerEntry {
-            server: self.server(),
+            server: self.server_id(),
             state: match (self.lifecycle, self.address) {
                 (Lifecycle::Up, Some(_)) => ServerState::Ready,
                 (Lifecycle::Draining, Some(_)) => ServerState::Draining,
@@ -111,7 +111,7 @@
 
 /// The request target of a poll: `None` for the whole list, else the version after which changes are asked for and
 /// how long the poll may be held, ms.
-pub fn poll_target(changes: Option<(u64, u64)>) -> String {
+pub fn poll_path_and_query(changes: Option<(u64, u64)>) -> String {
     match changes {
         None => "/api/targets".to_owned(),
         Some((version, hold_ms)) => format!("/api/targets?from={version}&hold_ms={hold_ms}"),
--- a/crates/platform-protocol/tests/sizes.rs
+++ b/crates/platform-protocol/tests/sizes.rs
@@ -2,7 +2,7 @@
 
 use frostgauge::ListKind;
 use frostgauge_platform_protocol::config::Config;
-use frostgauge_platform_protocol::targets::{Lifecycle, List};
+use frostgauge_platform_protocol::targets::{Lifecycle, TargetList};
 use serde_json::{json, Value};
 
 const FLEET: usize = 1_024;
@@ -40,8 +40,9 @@
     let read = Config::read(config(FLEET, servers(FLEET)).as_bytes()).expect("a configuration");
     let known = read.known.expect("a list").instances;
     assert_eq!((read.peers.len(), known.len()), (FLEET, FLEET));
-    let entries = known.iter().map(|t| t.entry(&read.site)).collect();
-    let mut gateway = frostgauge::Gateway::new(read.site.settings, 7, 1_000_000).expect("sound settings");
+    let entries = known.iter().map(|t| t.entry(&read.platform_settings)).collect();
+    let mut gateway =
+        frostgauge::Gateway::new(read.platform_settings.settings, 7, 1_000_000).expect("sound settings");
     let list = frostgauge::Event::Servers { kind: ListKind::Full, entries };
     gateway.handle(1_000_000, list, &mut Vec::new());
     let request = frostgauge::Event::Request {
@@ -72,7 +73,7 @@
         "{known}"
     );
     let text = json!({"generation": 42, "reset": true, "instances": bad}).to_string();
-    let told = List::read(text.as_bytes()).expect_err("no such state");
+    let told = TargetList::read(text.as_bytes()).expect_err("no such state");
     assert!(told.to_string().starts_with("instances[700].lifecycle: unknown variant `asleep`"), "{told}");
 }
 
@@ -81,7 +82,7 @@
     let mut twice = servers(3);
     twice[2] = json!({"instanceId": "s-00000000", "hostPort": "10.9.9.9:8000", "lifecycle": "draining"});
     let text = json!({"generation": 42, "reset": true, "instances": twice}).to_string();
-    let list = List::read(text.as_bytes()).expect("a list");
-    assert_eq!(list.instances[0].server(), list.instances[2].server());
+    let list = TargetList::read(text.as_bytes()).expect("a list");
+    assert_eq!(list.instances[0].server_id(), list.instances[2].server_id());
     assert_eq!(list.instances[2].lifecycle, Lifecycle::Draining);
 }
--- a/crates/platform-protocol/tests/values.rs
+++ b/crates/platform-protocol/tests/values.rs
@@ -1,14 +1,14 @@
 //! The platform's values: lists, answers, requests from whatever bytes come.
 
 use frostgauge::{Effect, ServerState, Status};
-use frostgauge_platform_protocol::settings::{self, Column, Site};
-use frostgauge_platform_protocol::targets::{self, List};
+use frostgauge_platform_protocol::settings::{self, Column, PlatformSettings};
+use frostgauge_platform_protocol::targets::{self, TargetList};
 use frostgauge_platform_protocol::{answer, request};
 use frostgauge_proto::http::Head;
 use proptest::prelude::*;
 use serde_json::json;
 
-fn site() -> Site {
+fn platform_settings() -> PlatformSettings {
     let info = json!({
         "az": 1, "me": 2, "siblings": 3, "tickUs": 2000, "zones": ["a", "b"], "novel": {},
         "classes": [{"aimUs": 600000, "deadlineUs": 2500000, "lateWorth": 0.2, "name": "read",
@@ -28,13 +28,16 @@
 
 #[test]
 fn settings_hold_names_and_the_figures_of_connections() {
-    let site = site();
-    assert_eq!((site.settings.gateway_id, site.settings.gateways, site.settings.zone), (2, 3, 1));
-    assert_eq!(site.classes, ["read", "report"]);
-    assert_eq!(site.plans, ["base"]);
-    assert_eq!(site.settings.classes[1].effect, Effect::NonIdempotent);
-    assert_eq!(site.columns, [Column::Inflight, Column::Latency, Column::Other]);
-    assert_eq!((site.idle, site.connect, site.drain_grace), (15_000_000, 250_000, 500_000));
+    let platform = platform_settings();
+    assert_eq!((platform.settings.gateway_id, platform.settings.gateways, platform.settings.zone), (2, 3, 1));
+    assert_eq!(platform.classes, ["read", "report"]);
+    assert_eq!(platform.plans, ["base"]);
+    assert_eq!(platform.settings.classes[1].effect, Effect::NonIdempotent);
+    assert_eq!(platform.columns, [Column::Inflight, Column::Latency, Column::Other]);
+    assert_eq!(
+        (platform.idle_timeout, platform.connect_timeout, platform.drain_grace),
+        (15_000_000, 250_000, 500_000)
+    );
 }
 
 fn head(text: &str) -> Head {
@@ -57,13 +60,14 @@
 
 #[test]
 fn reports_and_use_that_cannot_be_read_count_as_none() {
-    let site = site();
-    let load = answer::load(&site, br#"{"outstanding":7,"recent_ms":14.5,"util":0.6}"#).expect("a report");
+    let platform = platform_settings();
+    let load =
+        answer::load(&platform, br#"{"outstanding":7,"recent_ms":14.5,"util":0.6}"#).expect("a report");
     assert_eq!((load.inflight, load.latency_ms, load.util), (Some(7.0), Some(14.5), None));
     for odd in
         ["", "{", "[]", "null", "{}", r#"{"outstanding":-1}"#, r#"{"outstanding":"7"}"#, r#"{"util":1}"#]
     {
-        assert_eq!(answer::load(&site, odd.as_bytes()), None, "{odd}");
+        assert_eq!(answer::load(&platform, odd.as_bytes()), None, "{odd}");
     }
     let used = |text: &str| answer::usage(&head(&format!("HTTP/1.1 200 OK\nx-allowance-used: {text}\n\n")));
     assert_eq!(used("86"), Some(0.86));
@@ -80,8 +84,8 @@
       {"instanceId":"s-2","hostPort":"10.1.0.19:8000","zone":"elsewhere","cell":0,"lifecycle":"draining",
        "weight":1.0,"startedAtMs":0},
       {"instanceId":"s-3","lifecycle":"removed"}]}"#;
-    let list = List::read(text.as_bytes()).expect("a list");
-    let entries: Vec<_> = list.instances.iter().map(|t| t.entry(&site())).collect();
+    let list = TargetList::read(text.as_bytes()).expect("a list");
+    let entries: Vec<_> = list.instances.iter().map(|t| t.entry(&platform_settings())).collect();
     assert_eq!(entries[0].state, ServerState::Ready);
     assert_eq!(
         (entries[0].ready_at, entries[0].zone, entries[0].cell, entries[0].size),
@@ -89,13 +93,13 @@
     );
     assert_eq!((entries[1].state, entries[1].zone), (ServerState::Draining, u32::MAX));
     assert_eq!(entries[2].state, ServerState::Removed);
-    let moved = List::read(text.replace("10.1.0.18", "10.9.0.18").as_bytes()).expect("a list");
-    assert_eq!(moved.instances[0].server(), list.instances[0].server());
-    assert_ne!(list.instances[0].server(), list.instances[1].server());
-    assert_eq!(targets::poll_target(None), "/api/targets");
-    assert_eq!(targets::poll_target(Some((41, 20))), "/api/targets?from=41&hold_ms=20");
+    let moved = TargetList::read(text.replace("10.1.0.18", "10.9.0.18").as_bytes()).expect("a list");
+    assert_eq!(moved.instances[0].server_id(), list.instances[0].server_id());
+    assert_ne!(list.instances[0].server_id(), list.instances[1].server_id());
+    assert_eq!(targets::poll_path_and_query(None), "/api/targets");
+    assert_eq!(targets::poll_path_and_query(Some((41, 20))), "/api/targets?from=41&hold_ms=20");
     for odd in ["", "{}", "[]", &text.replace("41", "-1"), &text.replace("\"up\"", "\"well\"")] {
-        assert!(List::read(odd.as_bytes()).is_err(), "{odd}");
+        assert!(TargetList::read(odd.as_bytes()).is_err(), "{odd}");
     }
 }
 
@@ -112,8 +116,8 @@
             "GET /read/1 HTTP/1.1\r\nhost: x\r\nx-txn: {id}\r\nx-tariff: base\r\ncookie: {key}\r\n\
              x-remaining-ms: {left}\r\nx-weight: {weight}\r\n\r\n"
         );
-        let site = site();
-        if let Ok(r) = Head::request(text.as_bytes()).map_err(|_| ()).and_then(|h| request::read(&site, &h, false).map_err(|_| ())) {
+        let platform = platform_settings();
+        if let Ok(r) = Head::request(text.as_bytes()).map_err(|_| ()).and_then(|h| request::read(&platform, &h, false).map_err(|_| ())) {
             prop_assert!(r.units > 0.0 && r.units <= 4.0);
             prop_assert!((1..=3).contains(&r.subset_size) && r.subset_start < 3);
             prop_assert!(r.customer.0 < 1 << 33 && r.timeout <= 2_500_000);
@@ -123,7 +127,7 @@
 
     #[test]
     fn lists_and_reports_read_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = List::read(&bytes);
-        prop_assert!(answer::load(&site(), &bytes).is_none_or(|l| l.inflight.is_none_or(|i| i >= 0.0)));
+        let _ = TargetList::read(&bytes);
+        prop_assert!(answer::load(&platform_settings(), &bytes).is_none_or(|l| l.inflight.is_none_or(|i| i >= 0.0)));
     }
 }
--- a/crates/platform-protocol/tests/wire_bytes.rs
+++ b/crates/platform-protocol/tests/wire_bytes.rs
@@ -4,12 +4,12 @@
 mod fixture;
 
 use fixture::assert_recorded;
-use frostgauge_platform_protocol::settings::{self, Site};
+use frostgauge_platform_protocol::settings::{self, PlatformSettings};
 use frostgauge_platform_protocol::{answer, request};
 use frostgauge_proto::http::Head;
 use serde_json::json;
 
-fn site() -> Site {
+fn platform_settings() -> PlatformSettings {
     let info = json!({
         "az": 1, "me": 0, "siblings": 3, "tickUs": 2000, "zones": ["a", "b"],
         "classes": [{"aimUs": 600000, "deadlineUs": 2500000, "lateWorth": 0.2, "name": "read",
@@ -34,15 +34,15 @@
     assert!(SOUND.contains(part), "{part}");
     let text = SOUND.replace(part, replacement).replace('\n', "\r\n");
     let head = Head::request(text.as_bytes()).expect("a head");
-    let rejection = request::read(&site(), &head, false).expect_err(part);
+    let rejection = request::read(&platform_settings(), &head, false).expect_err(part);
     format!("{} {}", rejection.status, rejection.reason)
 }
 
 #[test]
 fn rejections_have_the_recorded_statuses_and_reasons() {
     let head = Head::request(SOUND.replace('\n', "\r\n").as_bytes()).expect("a head");
-    assert!(request::read(&site(), &head, false).is_ok());
-    let content = request::read(&site(), &head, true).expect_err("content");
+    assert!(request::read(&platform_settings(), &head, false).is_ok());
+    let content = request::read(&platform_settings(), &head, true).expect_err("content");
     let encoded = [
         ("class", turned_away("/read/7", "/write/7")),
         ("method", turned_away("GET", "POST")),
--- a/crates/simhost/src/events.rs
+++ b/crates/simhost/src/events.rs
@@ -142,7 +142,7 @@
     let row = value?.as_array()?;
     let mut load = Load::default();
     for (column, value) in instance.columns.iter().zip(row) {
-        column.put(&mut load, value.as_f64());
+        column.set_value(&mut load, value.as_f64());
     }
     Some(load)
 }
