--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,28 +1,30 @@
-//! The configuration file that a gateway is started with, as JSON.
+//! Reads and validates the JSON configuration file that a gateway is started with.
 
 use crate::settings::{self, PlatformSettings, ReadError};
 use crate::targets::TargetList;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Longest file, bytes: a list of 10,000 servers takes some 2 MB.
+/// Maximum size of the file, bytes. A list of 10,000 servers takes about 2 MB.
 pub const MAX_BYTES: u64 = 16 << 20;
-/// Fewest descriptors: fewer leave none for clients and servers beside the gateway's own.
+/// Minimum number of file descriptors. With fewer, the gateway's own descriptors leave none for connections to clients
+/// and servers.
 pub const MIN_SOCKETS: usize = 64;
 
-/// The machine's limits.
+/// Limits of the machine that the gateway runs on.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct Limits {
-    /// Share of the one core that the processes run on.
+    /// CPU time that the gateway may use, as a share of one core.
     pub cores: f64,
-    /// Memory, MB; beyond it the gateway is killed.
+    /// Maximum memory, MB. The gateway is killed if it uses more.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
 }
 
+/// The file's JSON object before validation.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -40,23 +42,23 @@
 /// A valid configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The gateway's name, the same after a restart.
+    /// The gateway's name, which stays the same across restarts.
     pub name: String,
-    /// Address that clients connect to.
+    /// Address at which the gateway accepts clients' connections.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service, which publishes the list of servers.
     pub discovery: SocketAddr,
-    /// Seed of random numbers; a new one with each start.
+    /// Seed of the gateway's random numbers; each start has a new one.
     pub seed: u64,
-    /// The machine's limits.
+    /// Limits of the machine that the gateway runs on.
     pub limits: Limits,
-    /// Address that datagrams of other gateways are sent to.
+    /// Address at which the gateway receives datagrams of other gateways; `None` if gateways exchange none.
     pub peer_listen: Option<SocketAddr>,
-    /// The datagram addresses of all gateways, this one's included, by number.
+    /// Datagram addresses of all gateways, this one included, indexed by the gateway's number.
     pub peers: Vec<SocketAddr>,
-    /// The list of servers as last known, perhaps outdated.
+    /// The list of servers as last known before this start; it may be outdated.
     pub known: Option<TargetList>,
-    /// The settings.
+    /// The contents of the file's settings object.
     pub platform_settings: PlatformSettings,
 }
 
@@ -66,29 +68,29 @@
     /// A value is missing or of the wrong type.
     #[error("{}{}", path_prefix(.0), .0.inner())]
     Value(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the object.
+    /// The file holds more text after its JSON object.
     #[error(transparent)]
     Trailing(#[from] serde_json::Error),
-    /// The seed is no hexadecimal number.
-    #[error("seed: is not up to 16 hex digits")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: is not a number of 1 to 16 hexadecimal digits")]
     Seed,
     /// The settings object is not valid.
     #[error(transparent)]
     Settings(#[from] ReadError),
-    /// There are too few descriptors.
-    #[error("limits.sockets: {0} is under {MIN_SOCKETS}")]
+    /// The limit of file descriptors is below [`MIN_SOCKETS`].
+    #[error("limits.sockets: is {0}, but at least {MIN_SOCKETS} file descriptors are needed")]
     Sockets(usize),
-    /// There is not one peer address for each gateway.
+    /// The number of peer addresses differs from the number of gateways.
     #[error("peers: has {addresses} addresses for {gateways} gateways")]
     Peers {
-        /// Addresses in the file.
+        /// Number of peer addresses in the file.
         addresses: usize,
-        /// Gateways of the settings.
+        /// Number of gateways in the settings.
         gateways: usize,
     },
 }
 
-/// The path of an error's value; nothing for the object itself.
+/// The path of the value at fault and a colon; empty if the whole object is at fault.
 fn path_prefix(error: &serde_path_to_error::Error<serde_json::Error>) -> String {
     match error.path().to_string().as_str() {
         "." => String::new(),
@@ -97,13 +99,13 @@
 }
 
 impl Config {
-    /// Reads and validates a file's text.
+    /// Reads and validates the text of a configuration file.
     ///
     /// # Errors
-    /// What is wrong, with its path.
+    /// The first fault found, with the path of the value at fault.
     pub fn read(text: &[u8]) -> Result<Config, ConfigError> {
         let mut json = serde_json::Deserializer::from_slice(text);
-        let file: File = serde_path_to_error::deserialize(&mut json)?;
+        let file: ConfigFile = serde_path_to_error::deserialize(&mut json)?;
         json.end()?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed)?;
         let platform_settings = settings::read(&file.settings)?;
@@ -111,8 +113,8 @@
             return Err(ConfigError::Sockets(file.limits.sockets));
         }
         let (addresses, gateways) = (file.peers.len(), platform_settings.settings.gateways);
-        let has_peers = platform_settings.settings.capabilities.peers && file.peer_listen.is_some();
-        if has_peers && addresses != gateways {
+        let exchanges_datagrams = platform_settings.settings.capabilities.peers && file.peer_listen.is_some();
+        if exchanges_datagrams && addresses != gateways {
             return Err(ConfigError::Peers { addresses, gateways });
         }
         Ok(Config {
@@ -121,7 +123,7 @@
             discovery: file.discovery,
             seed,
             limits: file.limits,
-            peer_listen: file.peer_listen.filter(|_| has_peers),
+            peer_listen: file.peer_listen.filter(|_| exchanges_datagrams),
             peers: file.peers,
             known: file.known,
             platform_settings,
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,11 +1,11 @@
-//! The platform's protocol and configuration as values: bytes and JSON in, values out, and back. Nothing here opens a
-//! socket or reads a clock, and nothing decides on quotas, routing or health: those are the library's.
+//! Parsers and formats of the platform's protocol and configuration, without I/O: nothing here opens a socket or reads
+//! a clock. Decisions on quotas, routing and health are made by the decision library, the crate `frostgauge`.
 //!
-//! - [`config`]: the file that a gateway is started with; [`settings`]: the settings object inside it, which the
-//!   simulator's adapter reads with the same reader.
-//! - [`request`]: what a client asks for, checked.
-//! - [`answer`]: what a server's answer proves, and its load report.
-//! - [`targets`]: the list of servers, and how it is followed.
+//! - [`config`]: the file that a gateway is started with.
+//! - [`settings`]: the settings object inside that file, also read by the simulator's adapter.
+//! - [`request`]: reads and validates the head of a client's request.
+//! - [`answer`]: the status, usage and load report in a server's response.
+//! - [`targets`]: discovery's list of servers, and the path by which a gateway polls it.
 
 pub mod answer;
 pub mod config;
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings object of the simulator's first message and of the platform's configuration file, read into the decision
-//! library's settings and those of sockets. Unknown keys are ignored.
+//! Reads the settings object, which is part of the simulator's first message and of the platform's configuration file,
+//! into the settings of the decision library and those of connections. Unknown keys are ignored.
 
 use frostgauge::{
     BackendLimits, Capabilities, Class, DedupScope, Effect, Load, LoadReports, Micros, Plan, Settings,
@@ -10,48 +10,58 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("settings: {path} {problem}")]
 pub struct ReadError {
-    /// Path of the setting in the object.
+    /// Path of the setting in the settings object.
     pub path: String,
-    /// What is wrong with it.
+    /// The fault, as the predicate of a sentence that begins with the path.
     pub problem: &'static str,
 }
 
-/// An object of the settings and its path, which ends in a point unless it is empty.
-struct Reader<'a>(&'a Value, String);
+/// An object within the settings.
+struct Reader<'a> {
+    value: &'a Value,
+    /// Path of the object followed by a dot; empty for the settings object itself.
+    path_prefix: String,
+}
 
 impl<'a> Reader<'a> {
     fn error(&self, key: &str, problem: &'static str) -> ReadError {
-        ReadError { path: format!("{}{key}", self.1), problem }
+        ReadError { path: format!("{}{key}", self.path_prefix), problem }
     }
     fn get(&self, key: &str) -> Result<&'a Value, ReadError> {
-        self.0.get(key).ok_or_else(|| self.error(key, "is missing"))
+        self.value.get(key).ok_or_else(|| self.error(key, "is missing"))
     }
     fn object(&self, key: &str) -> Result<Reader<'a>, ReadError> {
-        Ok(Reader(self.get(key)?, format!("{}{key}.", self.1)))
+        Ok(Reader { value: self.get(key)?, path_prefix: format!("{}{key}.", self.path_prefix) })
     }
+    /// The objects of a list.
     fn list(&self, key: &str) -> Result<Vec<Reader<'a>>, ReadError> {
-        let rows = self.get(key)?.as_array().ok_or_else(|| self.error(key, "is no list"))?;
-        Ok(rows.iter().enumerate().map(|(k, v)| Reader(v, format!("{}{key}[{k}].", self.1))).collect())
+        let items = self.get(key)?.as_array().ok_or_else(|| self.error(key, "is not a list"))?;
+        let reader =
+            |(index, value)| Reader { value, path_prefix: format!("{}{key}[{index}].", self.path_prefix) };
+        Ok(items.iter().enumerate().map(reader).collect())
     }
     fn number(&self, key: &str) -> Result<f64, ReadError> {
-        self.get(key)?.as_f64().ok_or_else(|| self.error(key, "is no number"))
+        self.get(key)?.as_f64().ok_or_else(|| self.error(key, "is not a number"))
     }
+    /// A number that is not negative, with its fraction cut off.
     fn whole(&self, key: &str) -> Result<u64, ReadError> {
         let value = self.number(key)?;
         if value < 0.0 {
-            return Err(self.error(key, "is negative"));
+            return Err(self.error(key, "must not be negative"));
         }
         Ok(value as u64)
     }
+    /// A boolean; false if it is missing or of another type.
     fn flag(&self, key: &str) -> bool {
-        self.0.get(key).and_then(Value::as_bool).unwrap_or(false)
+        self.value.get(key).and_then(Value::as_bool).unwrap_or(false)
     }
+    /// A string; empty if it is missing or of another type.
     fn text(&self, key: &str) -> &'a str {
-        self.0.get(key).and_then(Value::as_str).unwrap_or("")
+        self.value.get(key).and_then(Value::as_str).unwrap_or("")
     }
 }
 
-/// A column of load reports.
+/// A value that servers may give in their load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Column {
     /// Requests in flight.
@@ -62,12 +72,12 @@
     Util,
     /// Recent service time, ms.
     Latency,
-    /// Something else.
+    /// A column that the gateway does not use.
     Other,
 }
 
 impl Column {
-    /// The column of a name in settings and reports.
+    /// The column with this name in the settings and in load reports; [`Column::Other`] for an unknown name.
     pub fn from_name(name: &str) -> Column {
         match name {
             "outstanding" | "inflight" => Column::Inflight,
@@ -78,7 +88,7 @@
         }
     }
 
-    /// Sets the column's value in a report.
+    /// Sets the column's value in a load report; a value of [`Column::Other`] is dropped.
     pub fn set_value(self, load: &mut Load, value: Option<f64>) {
         match self {
             Column::Inflight => load.inflight = value,
@@ -93,34 +103,34 @@
 /// The contents of the settings object.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Settings of the decision library.
+    /// Settings of the decision library, the crate `frostgauge`.
     pub settings: Settings,
-    /// The columns of load reports, in order.
+    /// The columns of the servers' load reports, in the order of the settings.
     pub columns: Vec<Column>,
-    /// Names of classes, in order.
+    /// Names of the classes; a class is referred to by its index here.
     pub classes: Vec<String>,
-    /// Names of plans, in order.
+    /// Names of the plans; a plan is referred to by its index here.
     pub plans: Vec<String>,
-    /// Names of zones, in order.
+    /// Names of the zones; a zone is referred to by its index here.
     pub zones: Vec<String>,
-    /// Maximum units of one request; 0 means that none is named.
+    /// Maximum units of one request; 0 if the settings have no maximum.
     pub max_units: f64,
-    /// Maximum number of requests in flight; 0 means that none is named.
+    /// Maximum number of requests in flight; 0 if the settings have no maximum.
     pub max_in_flight: usize,
-    /// Servers close connections that are idle for this long, µs.
+    /// Servers close connections that are idle for this long, µs; 0 if the settings don't give it.
     pub idle_timeout: Micros,
-    /// Connect timeout, µs.
+    /// Timeout for connecting to a server, µs; 0 if the settings don't give it.
     pub connect_timeout: Micros,
-    /// Nothing new may be sent to a draining server after this time, µs.
+    /// Time after which no new request may be sent to a draining server, µs; 0 if the settings don't give it.
     pub drain_grace: Micros,
 }
 
-/// Reads the object.
+/// Reads the settings object.
 ///
 /// # Errors
-/// The first setting that is missing or of the wrong type.
-pub fn read(info: &Value) -> Result<PlatformSettings, ReadError> {
-    let root = Reader(info, String::new());
+/// The first setting that is missing, of the wrong type, negative or unknown.
+pub fn read(object: &Value) -> Result<PlatformSettings, ReadError> {
+    let root = Reader { value: object, path_prefix: String::new() };
     let (limits, rules, family, stats) =
         (root.object("limits")?, root.object("rules")?, root.object("familyInfo")?, root.object("stats")?);
     let settings = Settings {
@@ -142,9 +152,9 @@
     Ok(PlatformSettings {
         settings,
         columns: columns(&stats),
-        classes: names(info, "classes"),
-        plans: names(info, "plans"),
-        zones: names(info, "zones"),
+        classes: names(object, "classes"),
+        plans: names(object, "plans"),
+        zones: names(object, "zones"),
         max_units: family.number("maxUnits").unwrap_or(0.0),
         max_in_flight: limits.whole("maxOpen").unwrap_or(0) as usize,
         idle_timeout: limits.whole("connIdleUs").unwrap_or(0),
@@ -168,7 +178,7 @@
             "retryable" => Effect::Idempotent,
             "dedup" => Effect::Deduplicated { scope, window: class.whole("windowUs")? },
             "fragile" => Effect::NonIdempotent,
-            _ => return Err(class.error("semantics", "is not known")),
+            _ => return Err(class.error("semantics", "is not one of 'retryable', 'dedup' and 'fragile'")),
         },
         stream: class.flag("stream"),
     })
@@ -222,13 +232,13 @@
 }
 
 fn columns(stats: &Reader) -> Vec<Column> {
-    let columns = stats.0.get("columns").and_then(Value::as_array);
+    let columns = stats.value.get("columns").and_then(Value::as_array);
     let names = columns.into_iter().flatten().map(|name| name.as_str().unwrap_or(""));
     names.map(Column::from_name).collect()
 }
 
-/// The names in a list of names, or of objects with a `name`.
-fn names(info: &Value, key: &str) -> Vec<String> {
-    let rows = info.get(key).and_then(Value::as_array).into_iter().flatten();
-    rows.map(|row| row.get("name").unwrap_or(row).as_str().unwrap_or("").to_owned()).collect()
+/// The names in a list of strings or of objects with a `name`. Empty if there is no such list.
+fn names(object: &Value, key: &str) -> Vec<String> {
+    let items = object.get(key).and_then(Value::as_array).into_iter().flatten();
+    items.map(|item| item.get("name").unwrap_or(item).as_str().unwrap_or("").to_owned()).collect()
 }
