--- a/crates/platform-protocol/tests/wire_bytes.rs
+++ b/crates/platform-protocol/tests/wire_bytes.rs
@@ -1,4 +1,5 @@
-//! Texts by which a client's request is turned away, and names of fields, compared with recorded ones.
+//! Statuses and reasons with which invalid requests are rejected, and names of header fields, compared with the recorded
+//! ones: clients and servers depend on them letter for letter.
 
 #[path = "../../../tests/common/fixture.rs"]
 mod fixture;
@@ -9,6 +10,7 @@
 use frostgauge_proto::http::Head;
 use serde_json::json;
 
+/// Settings of gateway 0 of 3, with the class `read` and the plan `base`.
 fn platform_settings() -> PlatformSettings {
     let info = json!({
         "az": 1, "me": 0, "siblings": 3, "tickUs": 2000, "zones": ["a", "b"],
@@ -22,48 +24,51 @@
                   "warmAfterUs": 17000000},
         "stats": {"columns": ["outstanding"], "how": "probe"},
     });
-    settings::read(&info).expect("good settings")
+    settings::read(&info).expect("the settings are valid")
 }
 
-const SOUND: &str =
+/// A valid request, with line feeds in place of CR LF.
+const VALID_REQUEST: &str =
     "GET /read/7 HTTP/1.1\nhost: a\nx-txn: r-1\nx-tariff: base\nx-weight: units=1,spread=2,first=0\n\
     cookie: key=00000000b4d65521\nx-remaining-ms: 900\n\n";
 
-/// What becomes of the sound request with one part replaced.
-fn turned_away(part: &str, replacement: &str) -> String {
-    assert!(SOUND.contains(part), "{part}");
-    let text = SOUND.replace(part, replacement).replace('\n', "\r\n");
-    let head = Head::request(text.as_bytes()).expect("a head");
+/// Status and reason with which the valid request is rejected once one part of it is replaced.
+fn rejection_after(part: &str, replacement: &str) -> String {
+    assert!(VALID_REQUEST.contains(part), "the valid request does not contain {part:?}");
+    let text = VALID_REQUEST.replace(part, replacement).replace('\n', "\r\n");
+    let head = Head::request(text.as_bytes()).expect("the head is well-formed");
     let rejection = request::read(&platform_settings(), &head, false).expect_err(part);
     format!("{} {}", rejection.status, rejection.reason)
 }
 
 #[test]
 fn rejections_have_the_recorded_statuses_and_reasons() {
-    let head = Head::request(SOUND.replace('\n', "\r\n").as_bytes()).expect("a head");
+    let head =
+        Head::request(VALID_REQUEST.replace('\n', "\r\n").as_bytes()).expect("the head is well-formed");
     assert!(request::read(&platform_settings(), &head, false).is_ok());
-    let content = request::read(&platform_settings(), &head, true).expect_err("content");
+    let content_rejection =
+        request::read(&platform_settings(), &head, true).expect_err("a GET with content must be rejected");
     let encoded = [
-        ("class", turned_away("/read/7", "/write/7")),
-        ("method", turned_away("GET", "POST")),
-        ("content", format!("{} {}", content.status, content.reason)),
-        ("id", turned_away("r-1", "r 1")),
-        ("plan", turned_away("tariff: base", "tariff: other")),
-        ("weight-missing", turned_away("x-weight", "x-other")),
-        ("weight", turned_away("units=1", "units=0")),
-        ("customer", turned_away("key=", "lock=")),
-        ("time-left", turned_away("900", "soon")),
+        ("class", rejection_after("/read/7", "/write/7")),
+        ("method", rejection_after("GET", "POST")),
+        ("content", format!("{} {}", content_rejection.status, content_rejection.reason)),
+        ("id", rejection_after("r-1", "r 1")),
+        ("plan", rejection_after("tariff: base", "tariff: other")),
+        ("weight-missing", rejection_after("x-weight", "x-other")),
+        ("weight", rejection_after("units=1", "units=0")),
+        ("customer", rejection_after("key=", "lock=")),
+        ("time-left", rejection_after("900", "soon")),
     ];
     assert_recorded(include_str!("fixtures/rejections.txt"), &encoded);
 }
 
 #[test]
-fn names_of_fields() {
+fn header_fields_have_the_agreed_names() {
     assert_eq!(
         (request::ID_FIELD, request::TIMEOUT_FIELD, answer::REJECTED_FIELD),
         ("x-txn", "x-remaining-ms", "x-turned-away")
     );
-    let ends_here =
+    let not_forwarded =
         ["host", "content-length", "expect", "cookie", "x-tariff", "x-weight", "x-resent", "x-remaining-ms"];
-    assert_eq!(request::NOT_FORWARDED, ends_here);
+    assert_eq!(request::NOT_FORWARDED, not_forwarded);
 }
