--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -12,7 +12,8 @@
 pub struct ReadError {
     /// Path of the setting in the settings object.
     pub path: String,
-    /// The fault, as the predicate of a sentence that begins with the path.
+    /// The fault, as the predicate of a sentence that begins with the path. The simulator receives this text in its
+    /// `internalError` message.
     pub problem: &'static str,
 }
 
@@ -35,19 +36,19 @@
     }
     /// The objects of a list.
     fn list(&self, key: &str) -> Result<Vec<Reader<'a>>, ReadError> {
-        let items = self.get(key)?.as_array().ok_or_else(|| self.error(key, "is not a list"))?;
+        let items = self.get(key)?.as_array().ok_or_else(|| self.error(key, "is no list"))?;
         let reader =
             |(index, value)| Reader { value, path_prefix: format!("{}{key}[{index}].", self.path_prefix) };
         Ok(items.iter().enumerate().map(reader).collect())
     }
     fn number(&self, key: &str) -> Result<f64, ReadError> {
-        self.get(key)?.as_f64().ok_or_else(|| self.error(key, "is not a number"))
+        self.get(key)?.as_f64().ok_or_else(|| self.error(key, "is no number"))
     }
     /// A number that is not negative, with its fraction cut off.
     fn whole(&self, key: &str) -> Result<u64, ReadError> {
         let value = self.number(key)?;
         if value < 0.0 {
-            return Err(self.error(key, "must not be negative"));
+            return Err(self.error(key, "is negative"));
         }
         Ok(value as u64)
     }
@@ -178,7 +179,7 @@
             "retryable" => Effect::Idempotent,
             "dedup" => Effect::Deduplicated { scope, window: class.whole("windowUs")? },
             "fragile" => Effect::NonIdempotent,
-            _ => return Err(class.error("semantics", "is not one of 'retryable', 'dedup' and 'fragile'")),
+            _ => return Err(class.error("semantics", "is not known")),
         },
         stream: class.flag("stream"),
     })
