--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -212,7 +212,7 @@
 
     fn report_zone_changes(&mut self, out: &mut Vec<Command>) {
         if let Some(zones) = &mut self.library.gate.zones {
-            out.extend(zones.changes().into_iter().map(Command::Zone));
+            out.extend(zones.take_changes().into_iter().map(Command::Zone));
         }
     }
 
@@ -302,7 +302,7 @@
         }
         if let Some(zones) = &mut self.library.gate.zones {
             zones.advance(now);
-            out.extend(zones.checks(now).into_iter().map(|id| Command::Check { server: ServerId(id) }));
+            out.extend(zones.due_checks(now).into_iter().map(|id| Command::Check { server: ServerId(id) }));
         }
         self.report_zone_changes(out);
         while let Some(timer) = self.timers.due(now) {
@@ -476,7 +476,7 @@
                     Action::Reject { id, retry_after, reason: why } => {
                         let advice =
                             self.library.gate.zones.as_ref().filter(|_| why == RejectReason::ZoneClosed);
-                        let retry_after = advice.map_or(retry_after, |z| z.advice(jitter(id.0)));
+                        let retry_after = advice.map_or(retry_after, |z| z.retry_after(jitter(id.0)));
                         self.answer(id.0, GatewayAnswer::Rejected { why, retry_after }, out);
                     }
                     Action::Fail { id } => {
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -5,7 +5,7 @@
 use frostgauge::{CounterId, Load, ServerId, Status};
 use frostgauge_identity::{Answer, Grant, TokenName};
 use frostgauge_settings::Tenant;
-use frostgauge_zones::Change;
+use frostgauge_zones::ZoneChange;
 use std::sync::Arc;
 
 /// Number of a call, unique within one process.
@@ -175,7 +175,7 @@
         server: ServerId,
     },
     /// A zone changed, for the log.
-    Zone(Change),
+    Zone(ZoneChange),
     /// Send a message to another gateway.
     SendToPeer {
         /// Its number.
--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -21,7 +21,7 @@
 use frostgauge_proto::bearer::Token;
 use frostgauge_proto::http::Limits;
 use frostgauge_settings::Loaded;
-use frostgauge_zones::Change as ZoneChange;
+use frostgauge_zones::ZoneChange;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -348,7 +348,7 @@
         let phase = format!("{:?}", change.phase).to_lowercase();
         metrics::counter!("frostgauge_zone_changes", "zone" => zone.clone(), "phase" => phase.clone())
             .increment(1);
-        tracing::warn!(zone, phase, why = change.why, "zone");
+        tracing::warn!(zone, phase, why = change.reason, "zone");
     }
 }
 
--- a/crates/gateway/src/oauth/status.rs
+++ b/crates/gateway/src/oauth/status.rs
@@ -16,16 +16,16 @@
         let (Some(zones), loaded) = (core.zones(), self.handle.loaded()) else { return };
         let mut dark = BTreeSet::new();
         for (k, name) in loaded.file.zones.iter().enumerate() {
-            let Some(s) = zones.standing(now, k as u32) else { continue };
+            let Some(s) = zones.status(now, k as u32) else { continue };
             if s.phase == Phase::Dark {
                 dark.insert(name.clone());
             }
             for (what, value) in [
-                ("open", s.open),
-                ("health", s.health),
+                ("open", s.open_share),
+                ("health", s.healthy_share),
                 ("spilled", s.spilled as f64),
-                ("short", s.short as f64),
-                ("spill_per_s", s.spill_part.unwrap_or(f64::NAN)),
+                ("short", s.limited as f64),
+                ("spill_per_s", s.spill_per_s.unwrap_or(f64::NAN)),
             ] {
                 metrics::gauge!("frostgauge_zone", "zone" => name.clone(), "what" => what).set(value);
             }
@@ -39,11 +39,11 @@
     fn zone_rows(&self, now: Micros, core: &Core, loaded: &Loaded) -> Vec<Value> {
         let Some(zones) = core.zones() else { return vec![] };
         let rows = loaded.file.zones.iter().enumerate().filter_map(|(k, name)| {
-            let s = zones.standing(now, k as u32)?;
+            let s = zones.status(now, k as u32)?;
             Some(json!({
                 "zone": name, "phase": format!("{:?}", s.phase).to_lowercase(),
-                "for_s": now.saturating_sub(s.since) as f64 / 1e6, "open": s.open, "health": s.health,
-                "tier": s.tier, "spill_per_s": s.spill_part, "spilled": s.spilled, "short": s.short,
+                "for_s": now.saturating_sub(s.since) as f64 / 1e6, "open": s.open_share, "health": s.healthy_share,
+                "tier": s.tier, "spill_per_s": s.spill_per_s, "spilled": s.spilled, "short": s.limited,
             }))
         });
         rows.collect()
--- a/crates/gateway/src/zone_gate.rs
+++ b/crates/gateway/src/zone_gate.rs
@@ -3,7 +3,7 @@
 use crate::clock::Micros;
 use frostgauge::{Gate, Load, PendingAttempt, RequestId, ServerId, Status};
 use frostgauge_settings::Loaded;
-use frostgauge_zones::{Ask, Config, End, Limit, Node, Zones};
+use frostgauge_zones::{AttemptInfo, AttemptOutcome, Config, Node, SpillLimit, Zones};
 use std::collections::BTreeMap;
 
 const MS: Micros = 1_000;
@@ -18,13 +18,14 @@
 
 impl Gate for ZoneGate {
     fn open_zones(&mut self, now: Micros, attempting: &PendingAttempt) -> u64 {
-        let ask = Ask { safe: attempting.idempotent, worth: attempting.priority_weight };
-        self.zones.as_mut().map_or(u64::MAX, |zones| zones.open(now, ask))
+        let attempt =
+            AttemptInfo { idempotent: attempting.idempotent, priority_weight: attempting.priority_weight };
+        self.zones.as_mut().map_or(u64::MAX, |zones| zones.open_zones(now, attempt))
     }
 
     fn record_send(&mut self, now: Micros, _: RequestId, zone: u32) {
         if let Some(zones) = &mut self.zones {
-            zones.sent(now, zone);
+            zones.record_send(now, zone);
         }
     }
 }
@@ -39,7 +40,7 @@
     let limits = file
         .zones
         .iter()
-        .map(|zone| limits.and_then(|l| l.get(zone)).map(|l| Limit { rate: l.rate, share: l.share }));
+        .map(|zone| limits.and_then(|l| l.get(zone)).map(|l| SpillLimit { rate: l.rate, share: l.share }));
     // A limit is for the gateways of this zone: its turns are shared among them, where they are known.
     let mates = |n: usize| file.fleet.zones.iter().take(n).filter(|z| *z == here).count();
     let (me, gateways) = match file.fleet.zones.len() {
@@ -47,20 +48,20 @@
         n => (mates(me), mates(n)),
     };
     Some(Config {
-        me,
+        gateway_index: me,
         gateways,
         zones: file.zones.len(),
         tiers: tiers.collect(),
         limits: limits.collect(),
         overprovision: policy.overprovision,
         hold: policy.hold_ms * MS,
-        hold_most: policy.hold_most_ms * MS,
-        calm: policy.calm_ms * MS,
+        max_hold: policy.hold_most_ms * MS,
+        flap_decay: policy.calm_ms * MS,
         ramp: policy.ramp_ms * MS,
         check_every: policy.check_every_ms * MS,
-        enter: policy.enter,
-        leave: policy.leave,
-        cold: (file.rules.slow_start_ms * MS, file.rules.slow_start_share),
+        failures_to_dark: policy.enter,
+        checks_to_leave_dark: policy.leave,
+        slow_start: (file.rules.slow_start_ms * MS, file.rules.slow_start_share),
     })
 }
 
@@ -79,21 +80,23 @@
             .iter()
             .map(|e| Node { id: e.server.0, zone: e.zone, ready: ready(e), started: e.ready_at })
             .collect();
-        zones.list(now, &nodes);
+        zones.set_nodes(now, &nodes);
     }
 
     /// An attempt or a check ended.
     pub fn ended(&mut self, now: Micros, server: ServerId, status: Status, took: Micros, load: Option<Load>) {
         let (Some(zones), Some(zone)) = (&mut self.zones, self.places.get(&server)) else { return };
         let end = match status {
-            Status::Ok | Status::Error | Status::Rejected => End::Answered,
-            Status::ConnectFailed | Status::WriteFailed | Status::Reset | Status::Timeout => End::Dead,
-            Status::Cancelled | Status::NotSent => End::Nothing,
+            Status::Ok | Status::Error | Status::Rejected => AttemptOutcome::Answered,
+            Status::ConnectFailed | Status::WriteFailed | Status::Reset | Status::Timeout => {
+                AttemptOutcome::Failed
+            }
+            Status::Cancelled | Status::NotSent => AttemptOutcome::Inconclusive,
         };
-        zones.ended(now, *zone, server.0, now.saturating_sub(took), end);
+        zones.record_outcome(now, *zone, server.0, now.saturating_sub(took), end);
         if let (Status::Ok, Some(load)) = (status, load) {
             if let (Some(held), Some(busy)) = (load.inflight, load.util) {
-                zones.reported(*zone, held, busy, took as f64 / 1e6);
+                zones.record_load_report(*zone, held, busy, took as f64 / 1e6);
             }
         }
     }
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -31,7 +31,7 @@
         }
         host.pass(20 * MS);
     }
-    assert_eq!(host.core.zones().expect("a policy").standing(host.now, 0).expect("a zone").open, 0.0);
+    assert_eq!(host.core.zones().expect("a policy").status(host.now, 0).expect("a zone").open_share, 0.0);
 }
 
 #[test]
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -351,7 +351,7 @@
             let Some(zones) = gateway.core.zones() else { continue };
             // A zone whose only node fell over is gone for good.
             let alive = (0..ZONES).filter(|z| self.nodes.iter().any(|n| n.zone == *z && n.alive));
-            let standings = alive.filter_map(|z| zones.standing(end, z));
+            let standings = alive.filter_map(|z| zones.status(end, z));
             self.outcome.away += standings.filter(|s| s.phase != Phase::Home).count() as u64;
         }
     }
--- a/crates/zones/benches/open.rs
+++ b/crates/zones/benches/open.rs
@@ -1,44 +1,53 @@
 //! Time of one attempt's questions about zones: the question, the send, the outcome.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use frostgauge_zones::{Ask, Config, End, Limit, Node, Zones};
+use frostgauge_zones::{AttemptInfo, AttemptOutcome, Config, Node, SpillLimit, Zones};
 
 const S: u64 = 1_000_000;
 const T: u64 = 1_800_000_000 * S;
 
 fn zones(nodes: u64) -> Zones {
-    let limit = Some(Limit { rate: 200.0, share: 0.3 });
+    let limit = Some(SpillLimit { rate: 200.0, share: 0.3 });
     let config = Config {
-        me: 5,
+        gateway_index: 5,
         gateways: 400,
         zones: 3,
         tiers: vec![vec![0], vec![1, 2]],
         limits: vec![limit; 3],
         overprovision: 1.4,
         hold: 2 * S,
-        hold_most: 60 * S,
-        calm: 30 * S,
+        max_hold: 60 * S,
+        flap_decay: 30 * S,
         ramp: 10 * S,
         check_every: S / 2,
-        enter: 3,
-        leave: 2,
-        cold: (10 * S, 0.2),
+        failures_to_dark: 3,
+        checks_to_leave_dark: 2,
+        slow_start: (10 * S, 0.2),
     };
     let mut zones = Zones::new(config, T);
     let list: Vec<Node> =
         (0..nodes).map(|id| Node { id, zone: (id % 3) as u32, ready: true, started: 0 }).collect();
-    zones.list(T, &list);
+    zones.set_nodes(T, &list);
     zones
 }
 
 fn one(zones: &mut Zones, now: &mut u64, k: &mut u64) {
     *now += 5_000;
     *k += 1;
-    let bits = zones.open(*now, Ask { safe: (*k).is_multiple_of(2), worth: (*k % 3) as f64 });
+    let bits = zones.open_zones(
+        *now,
+        AttemptInfo { idempotent: (*k).is_multiple_of(2), priority_weight: (*k % 3) as f64 },
+    );
     let zone = bits.trailing_zeros();
     if zone < 3 {
-        zones.sent(*now, zone);
-        zones.ended(*now, zone, u64::from(zone) + 3 * (*k % 20), *now - 1_000, End::Answered);
+        zones.record_send(*now, zone);
+        zones.record_outcome(
+            *now,
+            zone,
+            u64::from(zone) + 3 * (*k % 20),
+            *now - 1_000,
+            AttemptOutcome::Answered,
+        );
     }
 }
 
--- a/crates/zones/src/health.rs
+++ b/crates/zones/src/health.rs
@@ -1,6 +1,6 @@
 //! One zone's health, from what this gateway sees: the list, outcomes, checks.
 
-use crate::{Config, End, Micros, Node};
+use crate::{AttemptOutcome, Config, Micros, Node};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Memory of a zone's usual size, microseconds: a fleet made smaller for good is the usual after this.
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug)]
 pub struct Health {
     phase: Phase,
-    /// Dead ends in a row that make it dark; see [`Config::enter`].
-    enter: u32,
+    /// Dead ends in a row that make it dark; see [`Config::failures_to_dark`].
+    failures_to_dark: u32,
     since: Micros,
     flaps: u32,
     /// Nodes that the list calls ready, with their starts.
@@ -54,10 +54,10 @@
 
 impl Health {
     /// At home.
-    pub(crate) fn new(now: Micros, enter: u32) -> Health {
+    pub(crate) fn new(now: Micros, failures_to_dark: u32) -> Health {
         Health {
             phase: Phase::Home,
-            enter,
+            failures_to_dark,
             since: now,
             flaps: 0,
             ready: BTreeMap::new(),
@@ -88,18 +88,18 @@
     }
 
     /// The list has ever had nodes of it.
-    pub fn known(&self) -> bool {
+    pub fn ever_listed(&self) -> bool {
         self.listed
     }
 
     /// The list has none of its nodes.
-    pub fn nobody(&self) -> bool {
+    pub fn has_no_ready_nodes(&self) -> bool {
         self.ready.is_empty()
     }
 
     /// What was tried there of late kept failing, though the list has nodes of it.
-    pub fn silent(&self) -> bool {
-        self.row >= self.enter || !self.ready.is_empty() && self.dead.len() == self.ready.len()
+    pub fn looks_unreachable(&self) -> bool {
+        self.row >= self.failures_to_dark || !self.ready.is_empty() && self.dead.len() == self.ready.len()
     }
 
     /// Nodes that the list calls ready.
@@ -108,18 +108,18 @@
     }
 
     /// Its usual number of nodes.
-    pub fn usual(&self) -> f64 {
+    pub fn usual_nodes(&self) -> f64 {
         self.usual
     }
 
     /// Capacity there, in warm nodes over the usual number.
-    pub fn healthy(&self, now: Micros, cold: (Micros, f64)) -> f64 {
+    pub fn healthy_share(&self, now: Micros, slow_start: (Micros, f64)) -> f64 {
         let ramp = |started: Micros| {
-            if started == 0 || cold.0 == 0 {
+            if started == 0 || slow_start.0 == 0 {
                 return 1.0;
             }
-            let up = now.saturating_sub(started) as f64 / cold.0 as f64;
-            (cold.1 + (1.0 - cold.1) * up).min(1.0)
+            let up = now.saturating_sub(started) as f64 / slow_start.0 as f64;
+            (slow_start.1 + (1.0 - slow_start.1) * up).min(1.0)
         };
         let there = self.ready.iter().filter(|(id, _)| !self.dead.contains(id)).map(|(_, s)| ramp(*s));
         if self.usual > 0.0 {
@@ -129,7 +129,7 @@
         }
     }
 
-    fn turn(&mut self, now: Micros, phase: Phase, why: &'static str) -> Changed {
+    fn turn(&mut self, now: Micros, phase: Phase, reason: &'static str) -> Changed {
         if self.phase == phase {
             return None;
         }
@@ -137,18 +137,18 @@
         self.since = now;
         self.told = false;
         self.good = 0;
-        Some((phase, why))
+        Some((phase, reason))
     }
 
     /// Goes dark; a zone that had come back, or was coming, flaps.
-    fn lose(&mut self, now: Micros, why: &'static str) -> Changed {
+    fn lose(&mut self, now: Micros, reason: &'static str) -> Changed {
         if matches!(self.phase, Phase::Ramp | Phase::Held) {
             self.flaps = (self.flaps + 1).min(16);
         }
-        self.turn(now, Phase::Dark, why)
+        self.turn(now, Phase::Dark, reason)
     }
 
-    pub(crate) fn list<'a>(&mut self, now: Micros, nodes: impl Iterator<Item = &'a Node>) -> Changed {
+    pub(crate) fn set_nodes<'a>(&mut self, now: Micros, nodes: impl Iterator<Item = &'a Node>) -> Changed {
         let before = std::mem::take(&mut self.ready);
         self.ready = nodes.filter(|n| n.ready).map(|n| (n.id, n.started)).collect();
         // A node that started anew is not judged by its earlier life.
@@ -162,7 +162,7 @@
             return None;
         }
         if self.ready.is_empty() {
-            self.row = self.enter;
+            self.row = self.failures_to_dark;
             return self.lose(now, "the list has none of its nodes");
         }
         // New nodes in place of dead ones: what is known of the old says nothing of them.
@@ -180,30 +180,30 @@
         self.turn(now, Phase::Ramp, "staff gave it back")
     }
 
-    pub(crate) fn ended(
+    pub(crate) fn record_outcome(
         &mut self,
         now: Micros,
         node: u64,
         sent: Micros,
-        end: End,
+        end: AttemptOutcome,
         config: &Config,
     ) -> Changed {
         if !self.ready.contains_key(&node) {
             return None;
         }
         match end {
-            End::Nothing => return None,
-            End::Answered => {
+            AttemptOutcome::Inconclusive => return None,
+            AttemptOutcome::Answered => {
                 self.dead.remove(&node);
                 self.row = 0;
                 self.row_nodes.clear();
                 self.tried = true;
                 self.good += 1;
-                if self.phase == Phase::Dark && !self.drained && self.good >= config.leave {
+                if self.phase == Phase::Dark && !self.drained && self.good >= config.checks_to_leave_dark {
                     return self.turn(now, Phase::Held, "its nodes answer checks");
                 }
             }
-            End::Dead => {
+            AttemptOutcome::Failed => {
                 self.good = 0;
                 self.dead.insert(node);
                 // Sent before the last dead end was known: no new sign.
@@ -217,7 +217,10 @@
                 let all = self.dead.len() == self.ready.len();
                 // A zone that is coming back goes at the first sign: its nodes are cold, and few requests out.
                 let fragile = matches!(self.phase, Phase::Ramp | Phase::Held) && self.row >= 2;
-                if several && (self.row >= self.enter || all && self.row >= 2.min(self.enter)) || fragile {
+                if several
+                    && (self.row >= self.failures_to_dark || all && self.row >= 2.min(self.failures_to_dark))
+                    || fragile
+                {
                     return self.lose(now, "what is sent there keeps failing");
                 }
             }
@@ -225,7 +228,7 @@
         None
     }
 
-    pub(crate) fn checks(&mut self, now: Micros, every: Micros) -> Vec<u64> {
+    pub(crate) fn due_checks(&mut self, now: Micros, every: Micros) -> Vec<u64> {
         if !matches!(self.phase, Phase::Dark | Phase::Held) || now < self.checked + every {
             return vec![];
         }
@@ -239,19 +242,24 @@
 
     /// The hold after so many flaps.
     fn hold(&self, config: &Config) -> Micros {
-        (config.hold << self.flaps.min(16)).min(config.hold_most)
+        (config.hold << self.flaps.min(16)).min(config.max_hold)
     }
 
     pub(crate) fn advance(&mut self, now: Micros, config: &Config) -> Changed {
         let age = now.saturating_sub(self.since);
         match self.phase {
-            Phase::Dark if age >= LISTED_ALL_THE_WHILE && !self.told && !self.drained && !self.nobody() => {
+            Phase::Dark
+                if age >= LISTED_ALL_THE_WHILE
+                    && !self.told
+                    && !self.drained
+                    && !self.has_no_ready_nodes() =>
+            {
                 self.told = true;
                 Some((Phase::Dark, "the list has its nodes all the while: the path from here may be cut"))
             }
             Phase::Held if age >= self.hold(config) => self.turn(now, Phase::Ramp, "the hold is over"),
             Phase::Ramp if age >= config.ramp => self.turn(now, Phase::Home, "the ramp is done"),
-            Phase::Home if self.flaps > 0 && age >= config.calm => {
+            Phase::Home if self.flaps > 0 && age >= config.flap_decay => {
                 self.flaps -= 1;
                 self.since = now;
                 None
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -2,12 +2,12 @@
 //! topple the others and its return does not knock over its nodes.
 //!
 //! The host feeds in the list of nodes, sends, outcomes and checks with the time; before each attempt it asks
-//! [`Zones::open`] for the zones that may be sent to. Rules, each with the setting that bounds it:
+//! [`Zones::open_zones`] for the zones that may be sent to. Rules, each with the setting that bounds it:
 //!
 //! - **Preference.** Zones stand in tiers. The first tier has all requests while its health, times
 //!   [`Config::overprovision`], covers them; what it does not cover goes to the next.
 //! - **Spill** is every attempt outside the first tier. All gateways together send a zone no more of it in
-//!   any second than [`Limit::rate`]: see [`Spill`]. When it is short, the dearest requests have it.
+//!   any second than [`SpillLimit::rate`]: see [`Spill`]. When it is short, the dearest requests have it.
 //! - **Loss.** A zone is dark when what was sent there after the first failure keeps failing at several
 //!   nodes, or when the list has none of its nodes. When every zone looks so, it is this gateway that is cut
 //!   off, and no verdict is trusted.
@@ -36,11 +36,11 @@
 /// Time over which the demand for spill is measured, seconds.
 const DEMAND_S: f64 = 2.0;
 /// Most zones that can be told apart.
-pub const MOST: usize = 64;
+pub const MAX_ZONES: usize = 64;
 
 /// A bound on what a zone takes from gateways of others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
+pub struct SpillLimit {
     /// Attempts in any one second, from all gateways together.
     pub rate: f64,
     /// Share of the zone's capacity, as far as it can be learnt; the lesser of the two holds.
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This gateway's number.
-    pub me: usize,
+    pub gateway_index: usize,
     /// How many gateways there are.
     pub gateways: usize,
     /// How many zones there are.
@@ -59,15 +59,15 @@
     /// This gateway's tiers: its preferred zones first.
     pub tiers: Vec<Vec<u32>>,
     /// What each zone takes from gateways of others; none: no bound.
-    pub limits: Vec<Option<Limit>>,
+    pub limits: Vec<Option<SpillLimit>>,
     /// A tier serves all while its healthy share times this is at least 1.
     pub overprovision: f64,
     /// A dark zone that answers checks is held down for this long, doubled with each flap...
     pub hold: Micros,
     /// ...up to this.
-    pub hold_most: Micros,
+    pub max_hold: Micros,
     /// A flap is forgotten after this long at home.
-    pub calm: Micros,
+    pub flap_decay: Micros,
     /// Time of a ramp.
     pub ramp: Micros,
     /// Between two checks of a dark zone.
@@ -75,31 +75,31 @@
     /// Dead ends in a row, each sent after the one before was known, that make a zone dark; they must be at
     /// two nodes at least, where there are so many. What was out when nodes died comes back all at once and
     /// counts as one: half of a zone gone is not a zone gone, since what is sent next finds the other half.
-    pub enter: u32,
+    pub failures_to_dark: u32,
     /// Good checks in a row that end the dark: one may be luck on a path that flaps.
-    pub leave: u32,
+    pub checks_to_leave_dark: u32,
     /// Time a cold node takes to be warm, and its share at the start.
-    pub cold: (Micros, f64),
+    pub slow_start: (Micros, f64),
 }
 
 /// What is asked about before an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct AttemptInfo {
     /// It may run twice without harm.
-    pub safe: bool,
+    pub idempotent: bool,
     /// What it earns, to choose by when spill is short.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// How an attempt or a check ended, as far as zones are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// The node answered, whatever it said.
     Answered,
     /// No connection, a broken one, or silence: signs of a zone that is gone.
-    Dead,
+    Failed,
     /// It says nothing of the node.
-    Nothing,
+    Inconclusive,
 }
 
 /// A node, as the list has it.
@@ -117,34 +117,34 @@
 
 /// A change worth a line in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct ZoneChange {
     /// The zone.
     pub zone: u32,
     /// What it is now.
     pub phase: Phase,
     /// Why.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// How a zone stands, for the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ZoneStatus {
     /// What it is.
     pub phase: Phase,
     /// Since when.
     pub since: Micros,
     /// Share of its requests that it is open to.
-    pub open: f64,
+    pub open_share: f64,
     /// Healthy share of its nodes.
-    pub health: f64,
+    pub healthy_share: f64,
     /// Tier here, from 0.
     pub tier: Option<usize>,
     /// Spill allowed to this gateway, a second; none: no bound.
-    pub spill_part: Option<f64>,
+    pub spill_per_s: Option<f64>,
     /// Spill sent from here so far.
     pub spilled: u64,
     /// Requests that found no zone open because of this one's limit.
-    pub short: u64,
+    pub limited: u64,
 }
 
 /// The decisions about zones at one gateway.
@@ -161,7 +161,7 @@
     drained: Vec<bool>,
     /// Requests a second that a node of each zone can do, as learnt from reports; 0: nothing learnt.
     capacity: Vec<f64>,
-    changes: Vec<Change>,
+    changes: Vec<ZoneChange>,
 }
 
 impl Zones {
@@ -169,9 +169,9 @@
     pub fn new(config: Config, now: Micros) -> Zones {
         let n = config.zones;
         let limits = config.limits.iter().chain(std::iter::repeat(&None)).take(n);
-        let spill = limits.map(|l| l.map(|l| Spill::new(l.rate, config.me, config.gateways, now)));
+        let spill = limits.map(|l| l.map(|l| Spill::new(l.rate, config.gateway_index, config.gateways, now)));
         Zones {
-            health: (0..n).map(|_| Health::new(now, config.enter)).collect(),
+            health: (0..n).map(|_| Health::new(now, config.failures_to_dark)).collect(),
             spill: spill.collect(),
             credit: vec![0.0; n],
             home_credit: 1.0,
@@ -185,15 +185,15 @@
     }
 
     /// Changes since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<ZoneChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Takes the whole list of nodes.
-    pub fn list(&mut self, now: Micros, nodes: &[Node]) {
+    pub fn set_nodes(&mut self, now: Micros, nodes: &[Node]) {
         for zone in 0..self.config.zones {
             let mine = nodes.iter().filter(|n| n.zone as usize == zone);
-            let change = self.health[zone].list(now, mine);
+            let change = self.health[zone].set_nodes(now, mine);
             self.note(zone, change);
         }
     }
@@ -208,15 +208,15 @@
     }
 
     /// An attempt or a check ended; `sent` is when it went out.
-    pub fn ended(&mut self, now: Micros, zone: u32, node: u64, sent: Micros, end: End) {
+    pub fn record_outcome(&mut self, now: Micros, zone: u32, node: u64, sent: Micros, end: AttemptOutcome) {
         let Some(health) = self.health.get_mut(zone as usize) else { return };
-        let change = health.ended(now, node, sent, end, &self.config);
+        let change = health.record_outcome(now, node, sent, end, &self.config);
         self.note(zone as usize, change);
     }
 
     /// A node reported its load with an answer: what it holds, its busy share, and the time of the answer, seconds.
     /// By Little's law it does held / time requests a second, and could do so many over its busy share.
-    pub fn reported(&mut self, zone: u32, held: f64, busy: f64, took: f64) {
+    pub fn record_load_report(&mut self, zone: u32, held: f64, busy: f64, took: f64) {
         let z = zone as usize;
         let sound = held > 0.0 && took > 0.0 && (BUSY..=1.5).contains(&busy);
         if !sound || z >= self.capacity.len() {
@@ -227,16 +227,16 @@
         *known = if *known == 0.0 { now } else { *known + LEARN * (now - *known) };
         if let (Some(Some(limit)), Some(Some(spill))) = (self.config.limits.get(z), self.spill.get_mut(z)) {
             let whole = *known * self.health[z].ready_nodes() as f64;
-            spill.thin((limit.share * whole).min(limit.rate), limit.rate);
+            spill.reduce_rate((limit.share * whole).min(limit.rate), limit.rate);
         }
     }
 
     /// Nodes of dark and held-down zones to be checked now: call it often.
-    pub fn checks(&mut self, now: Micros) -> Vec<u64> {
+    pub fn due_checks(&mut self, now: Micros) -> Vec<u64> {
         let every = self.config.check_every;
         (0..self.config.zones)
             .filter(|z| !self.drained[*z])
-            .flat_map(|z| self.health[z].checks(now, every))
+            .flat_map(|z| self.health[z].due_checks(now, every))
             .collect()
     }
 
@@ -249,20 +249,21 @@
     }
 
     fn note(&mut self, zone: usize, change: Option<(Phase, &'static str)>) {
-        if let Some((phase, why)) = change {
-            self.changes.push(Change { zone: zone as u32, phase, why });
+        if let Some((phase, reason)) = change {
+            self.changes.push(ZoneChange { zone: zone as u32, phase, reason });
         }
     }
 
     /// Every zone looks dark by what was tried: then it is this gateway that is cut off.
     fn alone(&self) -> bool {
-        self.health.iter().filter(|h| h.known()).all(|h| h.silent()) && self.health.iter().any(Health::known)
+        self.health.iter().filter(|h| h.ever_listed()).all(|h| h.looks_unreachable())
+            && self.health.iter().any(Health::ever_listed)
     }
 
     /// Share of a zone's requests that it is open to now.
     fn share(&self, now: Micros, zone: usize, safe: bool, alone: bool) -> f64 {
         let health = &self.health[zone];
-        if self.drained[zone] || health.nobody() {
+        if self.drained[zone] || health.has_no_ready_nodes() {
             return 0.0;
         }
         if alone {
@@ -282,14 +283,18 @@
     }
 
     /// The zones that an attempt may go to now, a bit each. None: it is to be refused.
-    pub fn open(&mut self, now: Micros, ask: Ask) -> u64 {
+    pub fn open_zones(&mut self, now: Micros, attempt: AttemptInfo) -> u64 {
         let alone = self.alone();
         let (mut home, mut covered, mut size) = (0, 0.0, 0.0);
         for k in 0..self.config.tiers.first().map_or(0, Vec::len) {
             let zone = self.config.tiers[0][k] as usize;
-            let share = self.share(now, zone, ask.safe, alone);
-            let usual = self.health[zone].usual();
-            let there = if alone { 1.0 } else { self.health[zone].healthy(now, self.config.cold).min(1.0) };
+            let share = self.share(now, zone, attempt.idempotent, alone);
+            let usual = self.health[zone].usual_nodes();
+            let there = if alone {
+                1.0
+            } else {
+                self.health[zone].healthy_share(now, self.config.slow_start).min(1.0)
+            };
             size += usual;
             covered += usual * share * there;
             if self.owes(zone, share) {
@@ -303,9 +308,9 @@
             self.home_credit = (self.home_credit - 1.0).max(0.0);
             return home;
         }
-        self.want(now, ask.worth);
+        self.want(now, attempt.priority_weight);
         // With nowhere to spill to, a tier that is only partly well still serves what it can.
-        match self.spill_bits(now, ask, alone) {
+        match self.spill_bits(now, attempt, alone) {
             0 => home,
             spilled => spilled,
         }
@@ -319,12 +324,12 @@
     }
 
     /// The first further tier with a zone that takes this request as spill.
-    fn spill_bits(&mut self, now: Micros, ask: Ask, alone: bool) -> u64 {
+    fn spill_bits(&mut self, now: Micros, attempt: AttemptInfo, alone: bool) -> u64 {
         for tier in 1..self.config.tiers.len() {
             let mut bits = 0;
             for k in 0..self.config.tiers[tier].len() {
                 let zone = self.config.tiers[tier][k] as usize;
-                let share = self.share(now, zone, ask.safe, alone);
+                let share = self.share(now, zone, attempt.idempotent, alone);
                 if share <= 0.0 {
                     continue;
                 }
@@ -332,7 +337,7 @@
                 let owed = self.owes(zone, share);
                 let cutoff = self.cutoff(now, zone);
                 let room = match &mut self.spill[zone] {
-                    Some(spill) => spill.left(now) >= 1 && ask.worth >= cutoff,
+                    Some(spill) => spill.available(now) >= 1 && attempt.priority_weight >= cutoff,
                     None => true,
                 };
                 if owed && room {
@@ -371,15 +376,15 @@
         0.0
     }
 
-    /// An attempt goes out to this zone, as [`Zones::open`] allowed.
-    pub fn sent(&mut self, now: Micros, zone: u32) {
+    /// An attempt goes out to this zone, as [`Zones::open_zones`] allowed.
+    pub fn record_send(&mut self, now: Micros, zone: u32) {
         let zone = zone as usize;
         if let Some(credit) = self.credit.get_mut(zone) {
             *credit = (*credit - 1.0).max(0.0);
         }
         if self.tier(zone) != Some(0) {
             if let Some(Some(spill)) = self.spill.get_mut(zone) {
-                spill.take(now);
+                spill.use_turn(now);
             }
         }
     }
@@ -390,23 +395,23 @@
 
     /// How long a request without a zone should stay away; `roll` from 0 up to 1 spreads those refused together,
     /// so that their clients do not return as one.
-    pub fn advice(&self, roll: f64) -> Micros {
+    pub fn retry_after(&self, roll: f64) -> Micros {
         (self.config.hold as f64 * (0.5 + roll)) as Micros
     }
 
     /// How a zone stands.
-    pub fn standing(&self, now: Micros, zone: u32) -> Option<Standing> {
+    pub fn status(&self, now: Micros, zone: u32) -> Option<ZoneStatus> {
         let z = zone as usize;
         let health = self.health.get(z)?;
-        Some(Standing {
+        Some(ZoneStatus {
             phase: health.phase(),
             since: health.since(),
-            open: self.share(now, z, true, self.alone()),
-            health: health.healthy(now, self.config.cold),
+            open_share: self.share(now, z, true, self.alone()),
+            healthy_share: health.healthy_share(now, self.config.slow_start),
             tier: self.tier(z),
-            spill_part: self.spill[z].as_ref().map(Spill::per_s),
-            spilled: self.spill[z].as_ref().map_or(0, Spill::taken),
-            short: self.short[z],
+            spill_per_s: self.spill[z].as_ref().map(Spill::per_s),
+            spilled: self.spill[z].as_ref().map_or(0, Spill::used_count),
+            limited: self.short[z],
         })
     }
 }
--- a/crates/zones/src/spill.rs
+++ b/crates/zones/src/spill.rs
@@ -54,7 +54,7 @@
     }
 
     /// Turns that can be used now.
-    pub fn left(&self, now: Micros) -> i64 {
+    pub fn available(&self, now: Micros) -> i64 {
         if now < self.begun {
             return 0;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Uses the oldest turn.
-    pub fn take(&mut self, now: Micros) {
+    pub fn use_turn(&mut self, now: Micros) {
         let lapsed = self.lapsed(now);
         // A thinned part lets whole turns go by; it never uses one that is not its own.
         self.owed += 1.0 / self.thin;
@@ -79,12 +79,12 @@
 
     /// Uses only so many a second of all gateways' turns, where the target takes no more; the turns stay where
     /// they are, since parts that each gateway cut anew would not add up.
-    pub fn thin(&mut self, rate: f64, limit: f64) {
+    pub fn reduce_rate(&mut self, rate: f64, limit: f64) {
         self.thin = (rate / limit.max(1e-9)).clamp(0.01, 1.0);
     }
 
     /// Turns used so far.
-    pub fn taken(&self) -> u64 {
+    pub fn used_count(&self) -> u64 {
         self.taken
     }
 }
--- a/crates/zones/tests/zones.rs
+++ b/crates/zones/tests/zones.rs
@@ -9,20 +9,20 @@
 
 fn config(me: usize, gateways: usize) -> Config {
     Config {
-        me,
+        gateway_index: me,
         gateways,
         zones: 3,
         tiers: vec![vec![0], vec![1], vec![2]],
-        limits: vec![Some(Limit { rate: 50.0, share: 1.0 }); 3],
+        limits: vec![Some(SpillLimit { rate: 50.0, share: 1.0 }); 3],
         overprovision: 1.4,
         hold: 2 * S,
-        hold_most: 60 * S,
-        calm: 30 * S,
+        max_hold: 60 * S,
+        flap_decay: 30 * S,
         ramp: 10 * S,
         check_every: 500 * MS,
-        enter: 3,
-        leave: 2,
-        cold: (10 * S, 0.2),
+        failures_to_dark: 3,
+        checks_to_leave_dark: 2,
+        slow_start: (10 * S, 0.2),
     }
 }
 
@@ -41,68 +41,70 @@
     sent: Vec<(Micros, u32)>,
 }
 
-const READ: Ask = Ask { safe: true, worth: 2.0 };
-const REPORT: Ask = Ask { safe: false, worth: 6.0 };
+const READ: AttemptInfo = AttemptInfo { idempotent: true, priority_weight: 2.0 };
+const REPORT: AttemptInfo = AttemptInfo { idempotent: false, priority_weight: 6.0 };
 
 impl Host {
     fn new() -> Host {
         let mut zones = Zones::new(config(0, 1), T);
-        zones.list(T, &nodes(&[0, 1, 2]));
+        zones.set_nodes(T, &nodes(&[0, 1, 2]));
         Host { zones, now: T, down: vec![], sent: vec![] }
     }
 
     /// One attempt, and its outcome at once; the zone it went to.
-    fn attempt(&mut self, ask: Ask) -> Option<u32> {
-        let bits = self.zones.open(self.now, ask);
+    fn attempt(&mut self, attempt: AttemptInfo) -> Option<u32> {
+        let bits = self.zones.open_zones(self.now, attempt);
         let zone = (0..3).find(|z| bits >> z & 1 == 1)?;
-        self.zones.sent(self.now, zone);
+        self.zones.record_send(self.now, zone);
         self.sent.push((self.now, zone));
-        let end = if self.down.contains(&zone) { End::Dead } else { End::Answered };
+        let end = if self.down.contains(&zone) { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
         let node = u64::from(zone * 10) + self.sent.len() as u64 % 4;
-        self.zones.ended(self.now, zone, node, self.now, end);
+        self.zones.record_outcome(self.now, zone, node, self.now, end);
         Some(zone)
     }
 
     /// Time passes with so many attempts a second, checks and outcomes; counts of attempts by zone.
-    fn run(&mut self, span: Micros, per_s: u64, ask: Ask) -> [u64; 4] {
+    fn run(&mut self, span: Micros, per_s: u64, attempt: AttemptInfo) -> [u64; 4] {
         let (mut counts, end) = ([0; 4], self.now + span);
         let mut due = self.now + S / per_s.max(1);
         while self.now < end {
             self.now += 10 * MS;
             self.zones.advance(self.now);
-            for node in self.zones.checks(self.now) {
+            for node in self.zones.due_checks(self.now) {
                 let zone = (node / 10) as u32;
-                let end = if self.down.contains(&zone) { End::Dead } else { End::Answered };
-                self.zones.ended(self.now, zone, node, self.now, end);
+                let end =
+                    if self.down.contains(&zone) { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
+                self.zones.record_outcome(self.now, zone, node, self.now, end);
             }
             while per_s > 0 && due <= self.now {
                 due += S / per_s;
-                counts[self.attempt(ask).map_or(3, |z| z as usize)] += 1;
+                counts[self.attempt(attempt).map_or(3, |z| z as usize)] += 1;
             }
         }
         counts
     }
 
     fn phase(&self, zone: u32) -> Phase {
-        self.zones.standing(self.now, zone).expect("a zone").phase
+        self.zones.status(self.now, zone).expect("a zone").phase
     }
 }
 
 #[test]
 fn the_settings_say_how_many_signs_enter_and_leave_the_dark() {
     for (enter, leave) in [(1, 1), (5, 4)] {
-        let mut zones = Zones::new(Config { enter, leave, ..config(0, 1) }, T);
-        zones.list(T, &nodes(&[0, 1, 2]));
-        let phase = |z: &Zones| z.standing(T, 0).expect("a zone").phase;
+        let mut zones =
+            Zones::new(Config { failures_to_dark: enter, checks_to_leave_dark: leave, ..config(0, 1) }, T);
+        zones.set_nodes(T, &nodes(&[0, 1, 2]));
+        let phase = |z: &Zones| z.status(T, 0).expect("a zone").phase;
         for k in 0..u64::from(enter) + 1 {
             // One sign is at one node; the rule asks for two. One node of four stays out of it: all dead would do.
             assert_eq!(phase(&zones) == Phase::Dark, k >= u64::from(enter.max(2)), "{k} of {enter}");
-            zones.ended(T + k, 0, k % 3, T + k, End::Dead);
+            zones.record_outcome(T + k, 0, k % 3, T + k, AttemptOutcome::Failed);
         }
         assert_eq!(phase(&zones), Phase::Dark);
         for k in 0..u64::from(leave) {
             assert_eq!(phase(&zones), Phase::Dark, "{k} of {leave}");
-            zones.ended(T + 100 + k, 0, k % 4, T + 100 + k, End::Answered);
+            zones.record_outcome(T + 100 + k, 0, k % 4, T + 100 + k, AttemptOutcome::Answered);
         }
         assert_eq!(phase(&zones), Phase::Held);
     }
@@ -135,12 +137,12 @@
     host.down = vec![0, 2];
     // Four nodes that do twenty a second each: a quarter of that is twenty.
     let mut config = config(0, 1);
-    config.limits[1] = Some(Limit { rate: 50.0, share: 0.25 });
+    config.limits[1] = Some(SpillLimit { rate: 50.0, share: 0.25 });
     host.zones = Zones::new(config, T);
-    host.zones.list(T, &nodes(&[0, 1, 2]));
+    host.zones.set_nodes(T, &nodes(&[0, 1, 2]));
     let spilled = |host: &mut Host, per_node: f64| {
         for _ in 0..200 {
-            host.zones.reported(1, 2.0, 0.5, 2.0 / (0.5 * per_node));
+            host.zones.record_load_report(1, 2.0, 0.5, 2.0 / (0.5 * per_node));
         }
         host.run(10 * S, 200, READ)[1]
     };
@@ -180,16 +182,16 @@
     let mut host = Host::new();
     // Twenty attempts out at two nodes come back dead at one stroke, all sent before.
     for k in 0..20 {
-        host.zones.ended(host.now, 0, k % 2, host.now - 100 * MS, End::Dead);
+        host.zones.record_outcome(host.now, 0, k % 2, host.now - 100 * MS, AttemptOutcome::Failed);
     }
     assert_eq!(host.phase(0), Phase::Home);
     // Health 0.5 times 1.4 covers 0.7 of the requests; the others go on.
     let mut counts = [0; 3];
     for _ in 0..1000 {
         host.now += 50 * MS;
-        let bits = host.zones.open(host.now, READ);
+        let bits = host.zones.open_zones(host.now, READ);
         let zone = (0..3).find(|z| bits >> z & 1 == 1).expect("a zone");
-        host.zones.sent(host.now, zone);
+        host.zones.record_send(host.now, zone);
         counts[zone as usize] += 1;
     }
     assert!((680..=720).contains(&counts[0]) && counts[1] > 250, "{counts:?}");
@@ -253,22 +255,22 @@
 #[test]
 fn a_list_without_the_zone_is_heeded_at_once_and_one_that_calls_it_ready_is_not_believed() {
     let mut host = Host::new();
-    host.zones.list(host.now, &nodes(&[1, 2]));
+    host.zones.set_nodes(host.now, &nodes(&[1, 2]));
     assert_eq!(host.phase(0), Phase::Dark);
     assert_eq!(host.run(S, 10, READ)[0], 0);
     // It is listed again, and still dark: checks fail.
     host.down = vec![0];
-    host.zones.list(host.now, &nodes(&[0, 1, 2]));
+    host.zones.set_nodes(host.now, &nodes(&[0, 1, 2]));
     assert_eq!(host.run(10 * S, 10, READ)[0], 0);
     host.down.clear();
     host.run(20 * S, 10, READ);
     assert_eq!(host.phase(0), Phase::Home);
     // Back under new ids: the old ones' failures are not theirs.
-    host.zones.list(host.now, &nodes(&[1, 2]));
+    host.zones.set_nodes(host.now, &nodes(&[1, 2]));
     let mut fresh = nodes(&[1, 2]);
     fresh.extend((100..104).map(|id| Node { id, zone: 0, ready: true, started: host.now }));
-    host.zones.list(host.now, &fresh);
-    assert_eq!(host.zones.checks(host.now + S).len(), 3);
+    host.zones.set_nodes(host.now, &fresh);
+    assert_eq!(host.zones.due_checks(host.now + S).len(), 3);
 }
 
 #[test]
@@ -276,15 +278,15 @@
     let mut host = Host::new();
     host.down = vec![0];
     host.run(2 * S, 20, READ);
-    assert_eq!(host.zones.changes().len(), 1);
+    assert_eq!(host.zones.take_changes().len(), 1);
     host.run(20 * S, 20, READ);
-    let changes = host.zones.changes();
+    let changes = host.zones.take_changes();
     assert_eq!(changes.len(), 1, "{changes:?}");
-    assert!(changes[0].phase == Phase::Dark && changes[0].why.contains("path"));
+    assert!(changes[0].phase == Phase::Dark && changes[0].reason.contains("path"));
     // One that the list has not got is simply gone.
-    host.zones.list(host.now, &nodes(&[0, 1]));
+    host.zones.set_nodes(host.now, &nodes(&[0, 1]));
     host.run(20 * S, 20, READ);
-    assert!(host.zones.changes().iter().all(|c| c.zone != 2 || !c.why.contains("path")));
+    assert!(host.zones.take_changes().iter().all(|c| c.zone != 2 || !c.reason.contains("path")));
 }
 
 #[test]
@@ -292,18 +294,18 @@
     let mut host = Host::new();
     let mut list = nodes(&[0, 1, 2]);
     list.iter_mut().filter(|n| n.zone == 0).for_each(|n| n.ready = n.id == 0);
-    host.zones.list(host.now, &list);
+    host.zones.set_nodes(host.now, &list);
     list[0].ready = false;
-    host.zones.list(host.now, &list);
+    host.zones.set_nodes(host.now, &list);
     assert_eq!(host.run(S, 10, READ)[0], 0);
     let one =
         [Node { id: 0, zone: 0, ready: true, started: 0 }, Node { id: 10, zone: 1, ready: true, started: 0 }];
     let mut zones = Zones::new(config(0, 1), T);
-    zones.list(T, &one);
-    zones.ended(T + S, 0, 0, T, End::Dead);
-    assert_eq!(zones.standing(T + S, 0).expect("a zone").phase, Phase::Home);
-    zones.ended(T + 2 * S, 0, 0, T + S, End::Dead);
-    assert_eq!(zones.standing(T + 2 * S, 0).expect("a zone").phase, Phase::Dark);
+    zones.set_nodes(T, &one);
+    zones.record_outcome(T + S, 0, 0, T, AttemptOutcome::Failed);
+    assert_eq!(zones.status(T + S, 0).expect("a zone").phase, Phase::Home);
+    zones.record_outcome(T + 2 * S, 0, 0, T + S, AttemptOutcome::Failed);
+    assert_eq!(zones.status(T + 2 * S, 0).expect("a zone").phase, Phase::Dark);
 }
 
 #[test]
@@ -336,20 +338,26 @@
     let mut seen = std::collections::BTreeSet::new();
     for code in 0..7u64.pow(6) {
         let mut host = Host::new();
-        host.zones.ended(T, 1, 10, T, End::Answered);
+        host.zones.record_outcome(T, 1, 10, T, AttemptOutcome::Answered);
         let (mut left, mut listed) = (code, true);
         for step in 0..6 {
             match alphabet[(left % 7) as usize] {
-                Do::Good => host.zones.ended(host.now, 0, step % 4, host.now, End::Answered),
-                Do::Dead => host.zones.ended(host.now, 0, step % 4, host.now, End::Dead),
-                Do::Burst => (0..4).for_each(|k| host.zones.ended(host.now, 0, k, host.now, End::Dead)),
+                Do::Good => {
+                    host.zones.record_outcome(host.now, 0, step % 4, host.now, AttemptOutcome::Answered)
+                }
+                Do::Dead => {
+                    host.zones.record_outcome(host.now, 0, step % 4, host.now, AttemptOutcome::Failed)
+                }
+                Do::Burst => (0..4).for_each(|k| {
+                    host.zones.record_outcome(host.now, 0, k, host.now, AttemptOutcome::Failed)
+                }),
                 Do::Gone => {
                     listed = false;
-                    host.zones.list(host.now, &nodes(&[1, 2]));
+                    host.zones.set_nodes(host.now, &nodes(&[1, 2]));
                 }
                 Do::Back => {
                     listed = true;
-                    host.zones.list(host.now, &nodes(&[0, 1, 2]));
+                    host.zones.set_nodes(host.now, &nodes(&[0, 1, 2]));
                 }
                 Do::Wait(span) => {
                     host.now += span;
@@ -357,7 +365,7 @@
                 }
             }
             left /= 7;
-            let open = host.zones.open(host.now, READ) & 1 == 1;
+            let open = host.zones.open_zones(host.now, READ) & 1 == 1;
             let phase = host.phase(0);
             assert!(!open || matches!(phase, Phase::Home | Phase::Ramp), "open while {phase:?}: {code}");
             assert!(!open || listed, "open without a node: {code}");
@@ -365,12 +373,18 @@
         }
         // The end of each fifth order, to keep the search short.
         if code % 5 == 0 {
-            host.zones.list(host.now, &nodes(&[0, 1, 2]));
+            host.zones.set_nodes(host.now, &nodes(&[0, 1, 2]));
             for _ in 0..400 {
                 host.now += 500 * MS;
                 host.zones.advance(host.now);
-                for node in host.zones.checks(host.now) {
-                    host.zones.ended(host.now, (node / 10) as u32, node, host.now, End::Answered);
+                for node in host.zones.due_checks(host.now) {
+                    host.zones.record_outcome(
+                        host.now,
+                        (node / 10) as u32,
+                        node,
+                        host.now,
+                        AttemptOutcome::Answered,
+                    );
                 }
             }
             assert_eq!(host.phase(0), Phase::Home, "stuck: {code}");
@@ -402,8 +416,8 @@
             let some = greed.iter().map(|g| g.0 % gateways).collect::<std::collections::BTreeSet<_>>();
             let takers: Vec<usize> = if rush { (0..gateways).collect() } else { some.into_iter().collect() };
             for k in takers {
-                while all[k].left(now) > 0 {
-                    all[k].take(now);
+                while all[k].available(now) > 0 {
+                    all[k].use_turn(now);
                     sends.push(now);
                 }
             }
