--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -202,7 +202,7 @@
     pub fn drain(&mut self, now: Micros, zone: u32, drained: bool) {
         let Some(place) = self.drained.get_mut(zone as usize) else { return };
         if std::mem::replace(place, drained) != drained {
-            let change = self.health[zone as usize].drained(now, drained);
+            let change = self.health[zone as usize].set_drained(now, drained);
             self.note(zone as usize, change);
         }
     }
