--- a/crates/zones/benches/open.rs
+++ b/crates/zones/benches/open.rs
@@ -1,10 +1,11 @@
-//! Time of one attempt's questions about zones: the question, the send, the outcome.
+//! Time of the calls for one attempt: choosing the open zones, recording the send, recording the outcome.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use frostgauge_zones::{AttemptInfo, AttemptOutcome, Config, Node, SpillLimit, Zones};
 
 const S: u64 = 1_000_000;
-const T: u64 = 1_800_000_000 * S;
+/// Start of the virtual time, microseconds.
+const START: u64 = 1_800_000_000 * S;
 
 fn zones(nodes: u64) -> Zones {
     let limit = Some(SpillLimit { rate: 200.0, share: 0.3 });
@@ -24,19 +25,19 @@
         checks_to_leave_dark: 2,
         slow_start: (10 * S, 0.2),
     };
-    let mut zones = Zones::new(config, T);
+    let mut zones = Zones::new(config, START);
     let list: Vec<Node> =
         (0..nodes).map(|id| Node { id, zone: (id % 3) as u32, ready: true, started: 0 }).collect();
-    zones.set_nodes(T, &list);
+    zones.set_nodes(START, &list);
     zones
 }
 
-fn one(zones: &mut Zones, now: &mut u64, k: &mut u64) {
+fn run_attempt(zones: &mut Zones, now: &mut u64, count: &mut u64) {
     *now += 5_000;
-    *k += 1;
+    *count += 1;
     let bits = zones.open_zones(
         *now,
-        AttemptInfo { idempotent: (*k).is_multiple_of(2), priority_weight: (*k % 3) as f64 },
+        AttemptInfo { idempotent: (*count).is_multiple_of(2), priority_weight: (*count % 3) as f64 },
     );
     let zone = bits.trailing_zeros();
     if zone < 3 {
@@ -44,7 +45,7 @@
         zones.record_outcome(
             *now,
             zone,
-            u64::from(zone) + 3 * (*k % 20),
+            u64::from(zone) + 3 * (*count % 20),
             *now - 1_000,
             AttemptOutcome::Answered,
         );
@@ -54,11 +55,11 @@
 fn open(c: &mut Criterion) {
     let mut group = c.benchmark_group("zones, 3 zones, 86 nodes");
     for (name, lost) in [("all at home", false), ("home lost", true)] {
-        let (mut zones, mut now, mut k) = (zones(86), T + 10 * S, 0);
+        let (mut zones, mut now, mut k) = (zones(86), START + 10 * S, 0);
         if lost {
             zones.drain(now, 0, true);
         }
-        group.bench_function(name, |b| b.iter(|| one(&mut zones, &mut now, &mut k)));
+        group.bench_function(name, |b| b.iter(|| run_attempt(&mut zones, &mut now, &mut k)));
     }
     group.finish();
 }
@@ -70,7 +71,7 @@
     line.and_then(|l| l.trim().split(' ').next()?.parse().ok()).unwrap_or(f64::NAN) * 1024.0
 }
 
-/// Memory of one gateway's decisions, by the growth of this process with 2,000 of them.
+/// Memory of one [`Zones`], from the growth of this process while it creates 2,000 of them.
 fn memory(_: &mut Criterion) {
     let mut kept = vec![];
     for nodes in [9, 86, 400] {
@@ -78,7 +79,7 @@
         let all: Vec<Zones> = (0..2_000).map(|_| zones(nodes)).collect();
         let each = (resident() - before) / all.len() as f64;
         println!("zones, 3 zones, {nodes} nodes: {:.0} bytes a gateway, {:.0} a zone", each, each / 3.0);
-        // What is freed would be used again, and the next size look smaller.
+        // Freed memory would be reused, and the next size would look smaller.
         kept.push(all);
     }
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,18 +1,19 @@
-//! Decisions about zones, free of I/O: which zones a request may go to now, so that the loss of one does not
-//! topple the others and its return does not knock over its nodes.
+//! Decisions about zones, free of I/O: which zones a request may go to now, so that the loss of one zone does not
+//! overload the others, and its return does not overload its own nodes.
 //!
-//! The host feeds in the list of nodes, sends, outcomes and checks with the time; before each attempt it asks
-//! [`Zones::open_zones`] for the zones that may be sent to. Rules, each with the setting that bounds it:
+//! The caller passes in the list of nodes, sends, outcomes and checks with the time; before each attempt it calls
+//! [`Zones::open_zones`] for the zones that may be sent to. The rules, with the settings that bound them:
 //!
-//! - **Preference.** Zones stand in tiers. The first tier has all requests while its health, times
-//!   [`Config::overprovision`], covers them; what it does not cover goes to the next.
-//! - **Spill** is every attempt outside the first tier. All gateways together send a zone no more of it in
-//!   any second than [`SpillLimit::rate`]: see [`Spill`]. When it is short, the dearest requests have it.
-//! - **Loss.** A zone is dark when what was sent there after the first failure keeps failing at several
-//!   nodes, or when the list has none of its nodes. When every zone looks so, it is this gateway that is cut
-//!   off, and no verdict is trusted.
-//! - **Return.** A dark zone gets checks, no requests. Once they succeed it is held down, longer after
-//!   each flap, and then ramped up; at first with requests that are safe to repeat alone.
+//! - **Preference.** Zones are ordered in tiers. The first tier gets all requests while its health, times
+//!   [`Config::overprovision`], covers them; the share that it does not cover goes to the next tiers.
+//! - **Spill** is every attempt outside the first tier. All gateways that share a limit together send a zone at
+//!   most [`SpillLimit::rate`] of these in any second: see [`Spill`]. When spill is short, the requests with the
+//!   highest priority weight get it.
+//! - **Loss.** A zone becomes dark when attempts sent after the first failure keep failing at several nodes, or
+//!   when the list has none of its nodes. When every zone looks unreachable, this gateway itself is probably cut
+//!   off, and it ignores the phases of the zones.
+//! - **Recovery.** A dark zone gets health checks and no requests. Once they succeed it is held, longer after each
+//!   flap, and then ramped up, at the start only with requests that are safe to repeat.
 
 mod health;
 mod spill;
@@ -22,150 +23,154 @@
 
 use std::collections::BTreeMap;
 
-/// A time or a span in microseconds.
+/// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// Share of a ramp during which only requests go that are safe to repeat.
-const SAFE_FIRST: f64 = 0.3;
-/// Share of its requests with which a ramp begins: enough to see how it goes.
-const RAMP_FROM: f64 = 0.05;
-/// Weight of one report in what is learnt of a node's capacity.
-const LEARN: f64 = 0.05;
-/// A node less busy than this tells nothing of what it could do.
-const BUSY: f64 = 0.1;
-/// Time over which the demand for spill is measured, seconds.
-const DEMAND_S: f64 = 2.0;
-/// Most zones that can be told apart.
+/// Initial part of a ramp, as a share of its duration, that is for idempotent requests only.
+const IDEMPOTENT_ONLY_SHARE: f64 = 0.3;
+/// Share of its requests that a zone gets when a ramp begins: enough to see whether its nodes answer.
+const RAMP_INITIAL_SHARE: f64 = 0.05;
+/// Weight of one load report in the moving average of a node's capacity.
+const CAPACITY_REPORT_WEIGHT: f64 = 0.05;
+/// Reports with a lower utilization are ignored: the capacity cannot be estimated from them.
+const MIN_UTILIZATION: f64 = 0.1;
+/// Time constant of the demand for spill, seconds.
+const DEMAND_DECAY_S: f64 = 2.0;
+/// Greatest number of zones: [`Zones::open_zones`] returns one bit for each.
 pub const MAX_ZONES: usize = 64;
 
-/// A bound on what a zone takes from gateways of others.
+/// Limit on the spill to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpillLimit {
-    /// Attempts in any one second, from all gateways together.
+    /// Attempts in any one second, from all gateways that share the limit together.
     pub rate: f64,
-    /// Share of the zone's capacity, as far as it can be learnt; the lesser of the two holds.
+    /// Share of the zone's capacity as estimated from load reports; the lower of the two bounds applies.
     pub share: f64,
 }
 
-/// What the settings say.
+/// Settings of [`Zones`].
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This gateway's number.
+    /// Index of this gateway among those that share the limits, from 0.
     pub gateway_index: usize,
-    /// How many gateways there are.
+    /// Number of gateways that share the limits.
     pub gateways: usize,
-    /// How many zones there are.
+    /// Number of zones, at most [`MAX_ZONES`]; they are numbered from 0.
     pub zones: usize,
-    /// This gateway's tiers: its preferred zones first.
+    /// This gateway's tiers, the preferred one first.
     pub tiers: Vec<Vec<u32>>,
-    /// What each zone takes from gateways of others; none: no bound.
+    /// Limit on the spill to each zone, by its number; `None`: no limit.
     pub limits: Vec<Option<SpillLimit>>,
-    /// A tier serves all while its healthy share times this is at least 1.
+    /// The first tier gets all requests while its healthy share times this is at least 1.
     pub overprovision: f64,
-    /// A dark zone that answers checks is held down for this long, doubled with each flap...
+    /// How long a dark zone that answers checks is held before its ramp; doubled for each flap, up to `max_hold`.
     pub hold: Micros,
-    /// ...up to this.
+    /// Longest hold.
     pub max_hold: Micros,
-    /// A flap is forgotten after this long at home.
+    /// Time in [`Phase::Home`] after which the flap count decreases by one.
     pub flap_decay: Micros,
-    /// Time of a ramp.
+    /// Duration of a recovery ramp.
     pub ramp: Micros,
-    /// Between two checks of a dark zone.
+    /// Interval between two checks of a dark or held zone.
     pub check_every: Micros,
-    /// Dead ends in a row, each sent after the one before was known, that make a zone dark; they must be at
-    /// two nodes at least, where there are so many. What was out when nodes died comes back all at once and
-    /// counts as one: half of a zone gone is not a zone gone, since what is sent next finds the other half.
+    /// Failures in a row that make a zone dark, each of an attempt sent after the failure before it was known, and
+    /// at two nodes at least if the zone has as many. Attempts in flight when nodes die fail together and count as
+    /// one failure: if half of a zone is lost, the next attempts reach the other half, and the zone stays in use.
     pub failures_to_dark: u32,
-    /// Good checks in a row that end the dark: one may be luck on a path that flaps.
+    /// Answers in a row that end the dark phase: a single one may be chance on a path that flaps.
     pub checks_to_leave_dark: u32,
-    /// Time a cold node takes to be warm, and its share at the start.
+    /// Time until a started node has its full capacity, and the share of the capacity that it starts with.
     pub slow_start: (Micros, f64),
 }
 
-/// What is asked about before an attempt.
+/// Properties of an attempt that decide which zones are open to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptInfo {
-    /// It may run twice without harm.
+    /// The request may run twice without harm.
     pub idempotent: bool,
-    /// What it earns, to choose by when spill is short.
+    /// When spill is short, requests with a higher weight get it first.
     pub priority_weight: f64,
 }
 
-/// How an attempt or a check ended, as far as zones are concerned.
+/// Outcome of an attempt or a check, as evidence about the zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The node answered, whatever it said.
+    /// The node answered, with a success or an error.
     Answered,
-    /// No connection, a broken one, or silence: signs of a zone that is gone.
+    /// The connection failed or broke, or no answer came in time: signs of a lost zone.
     Failed,
-    /// It says nothing of the node.
+    /// No evidence about the node, for example a cancelled attempt.
     Inconclusive,
 }
 
-/// A node, as the list has it.
+/// A node from the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// Its number.
+    /// Identity of the node, unique across zones.
     pub id: u64,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: u32,
-    /// It takes requests.
+    /// It accepts requests.
     pub ready: bool,
-    /// Its start; 0: long ago.
+    /// When it started; 0: long ago, so that it has its full capacity.
     pub started: Micros,
 }
 
-/// A change worth a line in the log.
+/// An event of a zone to be logged: a new phase, or a dark zone with a possibly cut path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneChange {
-    /// The zone.
+    /// Number of the zone.
     pub zone: u32,
-    /// What it is now.
+    /// Its phase from now on.
     pub phase: Phase,
-    /// Why.
+    /// Reason for the log.
     pub reason: &'static str,
 }
 
-/// How a zone stands, for the operators.
+/// State of a zone for status pages and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneStatus {
-    /// What it is.
+    /// Its phase.
     pub phase: Phase,
-    /// Since when.
+    /// See [`Health::since`].
     pub since: Micros,
-    /// Share of its requests that it is open to.
+    /// Share of its idempotent requests that the zone may get now, from 0 to 1.
     pub open_share: f64,
-    /// Healthy share of its nodes.
+    /// See [`Health::healthy_share`].
     pub healthy_share: f64,
-    /// Tier here, from 0.
+    /// Its tier at this gateway, from 0; `None`: in no tier.
     pub tier: Option<usize>,
-    /// Spill allowed to this gateway, a second; none: no bound.
+    /// Attempts a second that this gateway may spill to the zone; `None`: no limit.
     pub spill_per_s: Option<f64>,
-    /// Spill sent from here so far.
+    /// Attempts spilled from this gateway so far; counted only for zones with a limit.
     pub spilled: u64,
-    /// Requests that found no zone open because of this one's limit.
+    /// How often the zone was not open to an attempt because spill to it was short.
     pub limited: u64,
 }
 
-/// The decisions about zones at one gateway.
+/// Chooses the zones that one gateway may send to.
 #[derive(Debug)]
 pub struct Zones {
     config: Config,
     health: Vec<Health>,
     spill: Vec<Option<Spill>>,
-    /// Shares owed to each zone, so that a part of the requests is a part also of a few.
+    /// Sum of the shares of requests for each zone, less those sent: a zone is open at 1 or more. It makes the shares
+    /// exact for small numbers of requests too.
     credit: Vec<f64>,
-    home_credit: f64,
-    wanted: BTreeMap<u64, (f64, Micros)>,
-    short: Vec<u64>,
+    /// The same for the share of requests that the first tier covers.
+    first_tier_credit: f64,
+    /// Demand for spill by the bits of the priority weight: requests a second, and when it was last updated.
+    spill_demand: BTreeMap<u64, (f64, Micros)>,
+    /// See [`ZoneStatus::limited`].
+    limited: Vec<u64>,
     drained: Vec<bool>,
-    /// Requests a second that a node of each zone can do, as learnt from reports; 0: nothing learnt.
-    capacity: Vec<f64>,
+    /// Requests a second that one node of each zone can serve, estimated from load reports; 0: no report yet.
+    node_capacity: Vec<f64>,
     changes: Vec<ZoneChange>,
 }
 
 impl Zones {
-    /// All zones at home.
+    /// Starts with all zones in [`Phase::Home`] and no nodes; see [`Zones::set_nodes`].
     pub fn new(config: Config, now: Micros) -> Zones {
         let n = config.zones;
         let limits = config.limits.iter().chain(std::iter::repeat(&None)).take(n);
@@ -174,176 +179,190 @@
             health: (0..n).map(|_| Health::new(now, config.failures_to_dark)).collect(),
             spill: spill.collect(),
             credit: vec![0.0; n],
-            home_credit: 1.0,
-            wanted: BTreeMap::new(),
-            short: vec![0; n],
+            first_tier_credit: 1.0,
+            spill_demand: BTreeMap::new(),
+            limited: vec![0; n],
             drained: vec![false; n],
-            capacity: vec![0.0; n],
+            node_capacity: vec![0.0; n],
             changes: vec![],
             config,
         }
     }
 
-    /// Changes since the last call.
+    /// Removes and returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<ZoneChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes the whole list of nodes.
+    /// Replaces the list of nodes by a new, complete one.
     pub fn set_nodes(&mut self, now: Micros, nodes: &[Node]) {
         for zone in 0..self.config.zones {
-            let mine = nodes.iter().filter(|n| n.zone as usize == zone);
-            let change = self.health[zone].set_nodes(now, mine);
-            self.note(zone, change);
+            let zone_nodes = nodes.iter().filter(|n| n.zone as usize == zone);
+            let change = self.health[zone].set_nodes(now, zone_nodes);
+            self.push_change(zone, change);
         }
     }
 
-    /// Staff take a zone out of use, or give it back: through the same ramp as after a loss.
+    /// Starts or ends the drain of a zone by an operator; after a drain the zone is ramped up as after a loss.
     pub fn drain(&mut self, now: Micros, zone: u32, drained: bool) {
-        let Some(place) = self.drained.get_mut(zone as usize) else { return };
-        if std::mem::replace(place, drained) != drained {
+        let Some(current) = self.drained.get_mut(zone as usize) else { return };
+        if std::mem::replace(current, drained) != drained {
             let change = self.health[zone as usize].set_drained(now, drained);
-            self.note(zone as usize, change);
+            self.push_change(zone as usize, change);
         }
     }
 
-    /// An attempt or a check ended; `sent` is when it went out.
-    pub fn record_outcome(&mut self, now: Micros, zone: u32, node: u64, sent: Micros, end: AttemptOutcome) {
+    /// Records the outcome of an attempt or a check that was sent at `sent_at`.
+    pub fn record_outcome(
+        &mut self,
+        now: Micros,
+        zone: u32,
+        node: u64,
+        sent_at: Micros,
+        outcome: AttemptOutcome,
+    ) {
         let Some(health) = self.health.get_mut(zone as usize) else { return };
-        let change = health.record_outcome(now, node, sent, end, &self.config);
-        self.note(zone as usize, change);
+        let change = health.record_outcome(now, node, sent_at, outcome, &self.config);
+        self.push_change(zone as usize, change);
     }
 
-    /// A node reported its load with an answer: what it holds, its busy share, and the time of the answer, seconds.
-    /// By Little's law it does held / time requests a second, and could do so many over its busy share.
-    pub fn record_load_report(&mut self, zone: u32, held: f64, busy: f64, took: f64) {
+    /// Updates the capacity estimate of a zone from the load that a node reported with an answer: its requests in
+    /// flight, its utilization, and the time until the answer, seconds. By Little's law the node serves
+    /// `in_flight / duration_s` requests a second; divided by the utilization this is its capacity.
+    pub fn record_load_report(&mut self, zone: u32, in_flight: f64, utilization: f64, duration_s: f64) {
         let z = zone as usize;
-        let sound = held > 0.0 && took > 0.0 && (BUSY..=1.5).contains(&busy);
-        if !sound || z >= self.capacity.len() {
+        let usable = in_flight > 0.0 && duration_s > 0.0 && (MIN_UTILIZATION..=1.5).contains(&utilization);
+        if !usable || z >= self.node_capacity.len() {
             return;
         }
-        let now = held / took / busy.min(1.0);
-        let known = &mut self.capacity[z];
-        *known = if *known == 0.0 { now } else { *known + LEARN * (now - *known) };
+        let reported = in_flight / duration_s / utilization.min(1.0);
+        let estimate = &mut self.node_capacity[z];
+        *estimate = if *estimate == 0.0 {
+            reported
+        } else {
+            *estimate + CAPACITY_REPORT_WEIGHT * (reported - *estimate)
+        };
         if let (Some(Some(limit)), Some(Some(spill))) = (self.config.limits.get(z), self.spill.get_mut(z)) {
-            let whole = *known * self.health[z].ready_nodes() as f64;
-            spill.reduce_rate((limit.share * whole).min(limit.rate), limit.rate);
+            let zone_capacity = *estimate * self.health[z].ready_nodes() as f64;
+            spill.reduce_rate((limit.share * zone_capacity).min(limit.rate), limit.rate);
         }
     }
 
-    /// Nodes of dark and held-down zones to be checked now: call it often.
+    /// Nodes of dark and held zones to be checked now. Call it more often than [`Config::check_every`].
     pub fn due_checks(&mut self, now: Micros) -> Vec<u64> {
-        let every = self.config.check_every;
+        let interval = self.config.check_every;
         (0..self.config.zones)
             .filter(|z| !self.drained[*z])
-            .flat_map(|z| self.health[z].due_checks(now, every))
+            .flat_map(|z| self.health[z].due_checks(now, interval))
             .collect()
     }
 
-    /// Lets time pass: holds end, ramps go on.
+    /// Makes the changes that are due by time cut_off: ends holds and ramps, and lowers flap counts.
     pub fn advance(&mut self, now: Micros) {
         for zone in 0..self.config.zones {
             let change = self.health[zone].advance(now, &self.config);
-            self.note(zone, change);
+            self.push_change(zone, change);
         }
     }
 
-    fn note(&mut self, zone: usize, change: Option<(Phase, &'static str)>) {
+    fn push_change(&mut self, zone: usize, change: Option<(Phase, &'static str)>) {
         if let Some((phase, reason)) = change {
             self.changes.push(ZoneChange { zone: zone as u32, phase, reason });
         }
     }
 
-    /// Every zone looks dark by what was tried: then it is this gateway that is cut off.
-    fn alone(&self) -> bool {
+    /// Whether every zone that was ever listed looks unreachable: then this gateway itself is probably cut off.
+    fn seems_cut_off(&self) -> bool {
         self.health.iter().filter(|h| h.ever_listed()).all(|h| h.looks_unreachable())
             && self.health.iter().any(Health::ever_listed)
     }
 
-    /// Share of a zone's requests that it is open to now.
-    fn share(&self, now: Micros, zone: usize, safe: bool, alone: bool) -> f64 {
+    /// Share of a zone's requests that it may get now, from 0 to 1.
+    fn open_share(&self, now: Micros, zone: usize, idempotent: bool, cut_off: bool) -> f64 {
         let health = &self.health[zone];
         if self.drained[zone] || health.has_no_ready_nodes() {
             return 0.0;
         }
-        if alone {
+        if cut_off {
             return 1.0;
         }
         match health.phase() {
             Phase::Home => 1.0,
             Phase::Dark | Phase::Held => 0.0,
             Phase::Ramp => {
-                let gone = now.saturating_sub(health.since()) as f64 / self.config.ramp.max(1) as f64;
-                if gone < SAFE_FIRST && !safe {
+                let progress = now.saturating_sub(health.since()) as f64 / self.config.ramp.max(1) as f64;
+                if progress < IDEMPOTENT_ONLY_SHARE && !idempotent {
                     return 0.0;
                 }
-                (RAMP_FROM + (1.0 - RAMP_FROM) * gone).min(1.0)
+                (RAMP_INITIAL_SHARE + (1.0 - RAMP_INITIAL_SHARE) * progress).min(1.0)
             }
         }
     }
 
-    /// The zones that an attempt may go to now, a bit each. None: it is to be refused.
+    /// Returns the zones that an attempt may go to now, as one bit for each; with 0 the attempt is to be refused. Each
+    /// call counts as one request in the shares; call [`Zones::record_send`] for the zone that the attempt goes to.
     pub fn open_zones(&mut self, now: Micros, attempt: AttemptInfo) -> u64 {
-        let alone = self.alone();
-        let (mut home, mut covered, mut size) = (0, 0.0, 0.0);
+        let cut_off = self.seems_cut_off();
+        let (mut first_tier, mut covered, mut size) = (0, 0.0, 0.0);
         for k in 0..self.config.tiers.first().map_or(0, Vec::len) {
             let zone = self.config.tiers[0][k] as usize;
-            let share = self.share(now, zone, attempt.idempotent, alone);
+            let share = self.open_share(now, zone, attempt.idempotent, cut_off);
             let usual = self.health[zone].usual_nodes();
-            let there = if alone {
+            let healthy = if cut_off {
                 1.0
             } else {
                 self.health[zone].healthy_share(now, self.config.slow_start).min(1.0)
             };
             size += usual;
-            covered += usual * share * there;
-            if self.owes(zone, share) {
-                home |= 1 << zone;
+            covered += usual * share * healthy;
+            if self.add_credit(zone, share) {
+                first_tier |= 1 << zone;
             }
         }
-        // The part of the requests that the first tier covers goes there, and no other.
+        // The first tier gets the share of the requests that it covers, and no more.
         let ratio = if size > 0.0 { (self.config.overprovision * covered / size).min(1.0) } else { 0.0 };
-        self.home_credit = (self.home_credit + ratio).min(2.0);
-        if home != 0 && (ratio >= 1.0 || self.home_credit >= 1.0) {
-            self.home_credit = (self.home_credit - 1.0).max(0.0);
-            return home;
+        self.first_tier_credit = (self.first_tier_credit + ratio).min(2.0);
+        if first_tier != 0 && (ratio >= 1.0 || self.first_tier_credit >= 1.0) {
+            self.first_tier_credit = (self.first_tier_credit - 1.0).max(0.0);
+            return first_tier;
         }
-        self.want(now, attempt.priority_weight);
-        // With nowhere to spill to, a tier that is only partly well still serves what it can.
-        match self.spill_bits(now, attempt, alone) {
-            0 => home,
-            spilled => spilled,
+        self.record_demand(now, attempt.priority_weight);
+        // If no zone takes the spill, a partly healthy first tier still gets the request.
+        match self.spill_zones(now, attempt, cut_off) {
+            0 => first_tier,
+            spill => spill,
         }
     }
 
-    /// Adds a request's share to what a zone is owed; whether it is owed a whole one. So a share of the requests is
-    /// that also where they are few.
-    fn owes(&mut self, zone: usize, share: f64) -> bool {
+    /// Adds one request's share to the credit of a zone, up to 2, and returns whether the zone is open to it: with a
+    /// share above 0 and a credit of at least 1.
+    fn add_credit(&mut self, zone: usize, share: f64) -> bool {
         self.credit[zone] = (self.credit[zone] + share).min(2.0);
         share > 0.0 && self.credit[zone] >= 1.0
     }
 
-    /// The first further tier with a zone that takes this request as spill.
-    fn spill_bits(&mut self, now: Micros, attempt: AttemptInfo, alone: bool) -> u64 {
+    /// Goes through the tiers after the first and returns the zones that take this request as spill, from the first tier
+    /// that has any; 0: none.
+    fn spill_zones(&mut self, now: Micros, attempt: AttemptInfo, cut_off: bool) -> u64 {
         for tier in 1..self.config.tiers.len() {
             let mut bits = 0;
             for k in 0..self.config.tiers[tier].len() {
                 let zone = self.config.tiers[tier][k] as usize;
-                let share = self.share(now, zone, attempt.idempotent, alone);
+                let share = self.open_share(now, zone, attempt.idempotent, cut_off);
                 if share <= 0.0 {
                     continue;
                 }
-                // A share of the requests here as well: a zone on its way back is ramped for all who come.
-                let owed = self.owes(zone, share);
-                let cutoff = self.cutoff(now, zone);
-                let room = match &mut self.spill[zone] {
-                    Some(spill) => spill.available(now) >= 1 && attempt.priority_weight >= cutoff,
+                // A zone in its recovery ramp gets only its share of the spill too.
+                let has_credit = self.add_credit(zone, share);
+                let min_weight = self.min_spill_weight(now, zone);
+                let has_room = match &mut self.spill[zone] {
+                    Some(spill) => spill.available(now) >= 1 && attempt.priority_weight >= min_weight,
                     None => true,
                 };
-                if owed && room {
+                if has_credit && has_room {
                     bits |= 1 << zone;
-                } else if !room {
-                    self.short[zone] += 1;
+                } else if !has_room {
+                    self.limited[zone] += 1;
                 }
             }
             if bits != 0 {
@@ -353,30 +372,32 @@
         0
     }
 
-    /// Books the demand for spill by worth.
-    fn want(&mut self, now: Micros, worth: f64) {
-        let (value, at) = self.wanted.entry(worth.max(0.0).to_bits()).or_insert((0.0, now));
-        *value = *value * (-(now.saturating_sub(*at) as f64) / 1e6 / DEMAND_S).exp() + 1.0 / DEMAND_S;
+    /// Counts a request in the demand for spill at its priority weight.
+    fn record_demand(&mut self, now: Micros, priority_weight: f64) {
+        let (per_s, at) = self.spill_demand.entry(priority_weight.max(0.0).to_bits()).or_insert((0.0, now));
+        *per_s =
+            *per_s * (-(now.saturating_sub(*at) as f64) / 1e6 / DEMAND_DECAY_S).exp() + 1.0 / DEMAND_DECAY_S;
         *at = now;
     }
 
-    /// The worth below which requests find no spill, because the dearer ones use all that this gateway has:
-    /// the design's order of shedding.
-    fn cutoff(&self, now: Micros, zone: usize) -> f64 {
+    /// Priority weight below which requests get no spill to the zone, because the demand at this weight and above uses
+    /// all the spill that this gateway may send there; 0: none is excluded. When load is shed, requests with the
+    /// lowest priority weight are thus refused first.
+    fn min_spill_weight(&self, now: Micros, zone: usize) -> f64 {
         let Some(spill) = &self.spill[zone] else { return 0.0 };
         let supply = spill.per_s();
-        let mut above = 0.0;
-        // Bits of non-negative numbers sort as the numbers do.
-        for (worth, (value, at)) in self.wanted.iter().rev() {
-            above += value * (-(now.saturating_sub(*at) as f64) / 1e6 / DEMAND_S).exp();
-            if above >= supply {
-                return f64::from_bits(*worth);
+        let mut demand = 0.0;
+        // The bits of non-negative numbers sort in the order of the numbers.
+        for (weight, (per_s, at)) in self.spill_demand.iter().rev() {
+            demand += per_s * (-(now.saturating_sub(*at) as f64) / 1e6 / DEMAND_DECAY_S).exp();
+            if demand >= supply {
+                return f64::from_bits(*weight);
             }
         }
         0.0
     }
 
-    /// An attempt goes out to this zone, as [`Zones::open_zones`] allowed.
+    /// Records that an attempt is sent to a zone that [`Zones::open_zones`] returned for it.
     pub fn record_send(&mut self, now: Micros, zone: u32) {
         let zone = zone as usize;
         if let Some(credit) = self.credit.get_mut(zone) {
@@ -393,25 +414,25 @@
         self.config.tiers.iter().position(|t| t.contains(&(zone as u32)))
     }
 
-    /// How long a request without a zone should stay away; `roll` from 0 up to 1 spreads those refused together,
-    /// so that their clients do not return as one.
-    pub fn retry_after(&self, roll: f64) -> Micros {
-        (self.config.hold as f64 * (0.5 + roll)) as Micros
+    /// Time after which a client should retry a request that no zone was open to: half a hold plus up to one hold by
+    /// `jitter`, from 0 up to 1, so that clients refused together do not return together.
+    pub fn retry_after(&self, jitter: f64) -> Micros {
+        (self.config.hold as f64 * (0.5 + jitter)) as Micros
     }
 
-    /// How a zone stands.
+    /// State of a zone; `None` if there is no zone with this number.
     pub fn status(&self, now: Micros, zone: u32) -> Option<ZoneStatus> {
         let z = zone as usize;
         let health = self.health.get(z)?;
         Some(ZoneStatus {
             phase: health.phase(),
             since: health.since(),
-            open_share: self.share(now, z, true, self.alone()),
+            open_share: self.open_share(now, z, true, self.seems_cut_off()),
             healthy_share: health.healthy_share(now, self.config.slow_start),
             tier: self.tier(z),
             spill_per_s: self.spill[z].as_ref().map(Spill::per_s),
             spilled: self.spill[z].as_ref().map_or(0, Spill::used_count),
-            limited: self.short[z],
+            limited: self.limited[z],
         })
     }
 }
