--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -257,7 +257,7 @@
             .collect()
     }
 
-    /// Makes the changes that are due by time cut_off: ends holds and ramps, and lowers flap counts.
+    /// Makes the changes that are due by time alone: ends holds and ramps, and lowers flap counts.
     pub fn advance(&mut self, now: Micros) {
         for zone in 0..self.config.zones {
             let change = self.health[zone].advance(now, &self.config);
@@ -307,14 +307,14 @@
         for k in 0..self.config.tiers.first().map_or(0, Vec::len) {
             let zone = self.config.tiers[0][k] as usize;
             let share = self.open_share(now, zone, attempt.idempotent, cut_off);
-            let usual = self.health[zone].usual_nodes();
+            let usual_nodes = self.health[zone].usual_nodes();
             let healthy = if cut_off {
                 1.0
             } else {
                 self.health[zone].healthy_share(now, self.config.slow_start).min(1.0)
             };
-            size += usual;
-            covered += usual * share * healthy;
+            size += usual_nodes;
+            covered += usual_nodes * share * healthy;
             if self.add_credit(zone, share) {
                 first_tier |= 1 << zone;
             }
--- a/crates/zones/tests/zones.rs
+++ b/crates/zones/tests/zones.rs
@@ -216,7 +216,7 @@
     for _ in 0..1000 {
         sim.now += 50 * MS;
         let bits = sim.zones.open_zones(sim.now, READ);
-        let zone = (0..3).find(|z| bits >> z & 1 == 1).expect("zone exists");
+        let zone = (0..3).find(|z| bits >> z & 1 == 1).expect("a zone is open");
         sim.zones.record_send(sim.now, zone);
         counts[zone as usize] += 1;
     }
