--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -216,7 +216,7 @@
 
     fn report_zone_changes(&mut self, out: &mut Vec<Command>) {
         if let Some(zones) = &mut self.library.gate.zones {
-            out.extend(zones.changes().into_iter().map(Command::LogZoneChange));
+            out.extend(zones.take_changes().into_iter().map(Command::LogZoneChange));
         }
     }
 
@@ -301,7 +301,7 @@
         }
         if let Some(zones) = &mut self.library.gate.zones {
             zones.advance(now);
-            out.extend(zones.checks(now).into_iter().map(|id| Command::CheckHealth { server: ServerId(id) }));
+            out.extend(zones.due_checks(now).into_iter().map(|id| Command::CheckHealth { server: ServerId(id) }));
         }
         self.report_zone_changes(out);
         while let Some(timer) = self.timers.due(now) {
@@ -477,7 +477,7 @@
                         let closed_zones =
                             self.library.gate.zones.as_ref().filter(|_| why == RejectReason::ZoneClosed);
                         let retry_after =
-                            closed_zones.map_or(retry_after, |zones| zones.advice(jitter(id.0)));
+                            closed_zones.map_or(retry_after, |zones| zones.retry_after(jitter(id.0)));
                         self.answer(id.0, GatewayAnswer::Rejected { why, retry_after }, out);
                     }
                     Action::Fail { id } => {
--- a/crates/gateway/src/oauth/status.rs
+++ b/crates/gateway/src/oauth/status.rs
@@ -16,16 +16,16 @@
         let (Some(zones), loaded) = (core.zones(), self.handle.loaded()) else { return };
         let mut unavailable = BTreeSet::new();
         for (index, name) in loaded.file.zones.iter().enumerate() {
-            let Some(state) = zones.standing(now, index as u32) else { continue };
+            let Some(state) = zones.status(now, index as u32) else { continue };
             if state.phase == Phase::Dark {
                 unavailable.insert(name.clone());
             }
             for (what, value) in [
-                ("open", state.open),
-                ("health", state.health),
+                ("open", state.open_share),
+                ("health", state.healthy_share),
                 ("spilled", state.spilled as f64),
-                ("short", state.short as f64),
-                ("spill_per_s", state.spill_part.unwrap_or(f64::NAN)),
+                ("short", state.limited as f64),
+                ("spill_per_s", state.spill_per_s.unwrap_or(f64::NAN)),
             ] {
                 metrics::gauge!("frostgauge_zone", "zone" => name.clone(), "what" => what).set(value);
             }
@@ -39,11 +39,11 @@
     fn zone_rows(&self, now: Micros, core: &Core, loaded: &Loaded) -> Vec<Value> {
         let Some(zones) = core.zones() else { return vec![] };
         let rows = loaded.file.zones.iter().enumerate().filter_map(|(index, name)| {
-            let state = zones.standing(now, index as u32)?;
+            let state = zones.status(now, index as u32)?;
             Some(json!({
                 "zone": name, "phase": format!("{:?}", state.phase).to_lowercase(),
-                "for_s": now.saturating_sub(state.since) as f64 / 1e6, "open": state.open, "health": state.health,
-                "tier": state.tier, "spill_per_s": state.spill_part, "spilled": state.spilled, "short": state.short,
+                "for_s": now.saturating_sub(state.since) as f64 / 1e6, "open": state.open_share, "health": state.healthy_share,
+                "tier": state.tier, "spill_per_s": state.spill_per_s, "spilled": state.spilled, "short": state.limited,
             }))
         });
         rows.collect()
--- a/crates/gateway/tests/zones.rs
+++ b/crates/gateway/tests/zones.rs
@@ -44,9 +44,9 @@
         host.core
             .zones()
             .expect("the settings have a zone_policy")
-            .standing(host.now, 0)
+            .status(host.now, 0)
             .expect("zone 0 exists")
-            .open,
+            .open_share,
         0.0
     );
 }
