--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -14,7 +14,7 @@
 use crate::timers::Timers;
 use crate::zone_gate::ZoneGate;
 use frostgauge::{Action, Event, Gateway, ListKind, RejectReason, RequestId, ServerEntry, ServerId, Status};
-use frostgauge_identity::{Grant, Identity, Outcome, Step, TokenName};
+use frostgauge_identity::{Grant, Identity, Outcome, Step, TokenHash};
 use frostgauge_proto::bearer::Denied;
 use frostgauge_settings::{Loaded, Tenant};
 use frostgauge_zones::Zones;
@@ -241,7 +241,7 @@
             Input::ClientDisconnected { call_id } => self.client_disconnected(now, call_id, out),
             Input::Introspected { flight, answer } => {
                 let mut steps = std::mem::take(&mut self.steps);
-                self.identity.answered(now, flight, answer, &mut steps);
+                self.identity.introspected(now, flight, answer, &mut steps);
                 self.execute_steps(now, steps, out);
             }
             Input::AttemptEnded { call_id, attempt, server, status, elapsed, usage, load } => {
@@ -313,7 +313,7 @@
         let (call_id, token) = (metadata.call_id, metadata.token);
         let Some(timeout) = self.accept(now, metadata, out) else { return };
         let mut steps = std::mem::take(&mut self.steps);
-        self.identity.enter(now, call_id, token, timeout, &mut steps);
+        self.identity.check(now, call_id, token, timeout, &mut steps);
         self.execute_steps(now, steps, out);
     }
 
@@ -355,7 +355,7 @@
         let Some(call) = self.calls.remove(&call_id) else { return };
         self.stats.abandoned += 1;
         match call.stage {
-            Stage::AwaitingVerdict => self.identity.left(call_id),
+            Stage::AwaitingVerdict => self.identity.client_left(call_id),
             Stage::Submitted(_) => {
                 self.decide(now, Event::ClientDisconnected { id: RequestId(call_id) }, out)
             }
@@ -384,7 +384,7 @@
     fn execute_steps(&mut self, now: Micros, mut steps: Vec<Step>, out: &mut Vec<Command>) {
         for step in steps.drain(..) {
             match step {
-                Step::Ask { flight, token, timeout } => {
+                Step::Introspect { flight, token, timeout } => {
                     out.push(Command::Introspect { flight, token, timeout });
                 }
                 Step::Release { waiter, outcome } => match outcome {
@@ -447,7 +447,7 @@
 
     /// Denies the calls with this token of which no attempt was sent: the library must not hold a request for longer
     /// than its token is valid.
-    fn token_revoked(&mut self, now: Micros, token: TokenName, out: &mut Vec<Command>) {
+    fn token_revoked(&mut self, now: Micros, token: TokenHash, out: &mut Vec<Command>) {
         let unsent = |call: &OpenCall| {
             call.metadata.token == token && call.attempts == 0 && matches!(call.stage, Stage::Submitted(_))
         };
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -3,7 +3,7 @@
 use crate::clock::Micros;
 use crate::reply::GatewayAnswer;
 use frostgauge::{CounterId, Load, ServerId, Status};
-use frostgauge_identity::{Answer, Grant, TokenName};
+use frostgauge_identity::{Grant, TokenHash, Verdict};
 use frostgauge_settings::Tenant;
 use frostgauge_zones::Change;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     /// Number of the call; never reused.
     pub call_id: CallId,
     /// Digest of the call's token.
-    pub token: TokenName,
+    pub token: TokenHash,
     /// Index of the request's class.
     pub class: usize,
     /// Units charged to the tenant's quota.
@@ -54,7 +54,7 @@
         /// Number of the introspection request, from [`Command::Introspect`].
         flight: u64,
         /// The introspection server's answer; `None` if it gave no usable one.
-        answer: Option<Answer>,
+        answer: Option<Verdict>,
     },
     /// An attempt ended.
     AttemptEnded {
@@ -126,7 +126,7 @@
         /// Number of the introspection request.
         flight: u64,
         /// Digest of the token.
-        token: TokenName,
+        token: TokenHash,
         /// Timeout of the request, µs.
         timeout: Micros,
     },
--- a/crates/gateway/src/oauth/introspection.rs
+++ b/crates/gateway/src/oauth/introspection.rs
@@ -2,7 +2,7 @@
 
 use super::{response_limits, HostEvent, Message, OAuthHost, MAX_SMALL_RESPONSE_BYTES};
 use crate::clock::{Clock, Micros};
-use frostgauge_identity::{Answer, Grant, TokenName};
+use frostgauge_identity::{Grant, TokenHash, Verdict};
 use frostgauge_net::{exchange, End, Pool};
 use frostgauge_proto::bearer::Token;
 use frostgauge_proto::http::{write_request, Body};
@@ -12,7 +12,7 @@
 
 impl OAuthHost {
     /// Starts an introspection request; its end comes back as [`HostEvent::Introspected`].
-    pub(super) fn introspect(&mut self, flight: u64, token: TokenName, timeout: Micros) {
+    pub(super) fn introspect(&mut self, flight: u64, token: TokenHash, timeout: Micros) {
         let inbox = self.handle.inbox();
         let loaded = self.handle.loaded();
         let Some(token) = self.tokens.get(&token).cloned() else {
@@ -41,7 +41,7 @@
     token: &Token,
     clock: Clock,
     deadline: Instant,
-) -> Option<Answer> {
+) -> Option<Verdict> {
     let (settings, l) = (loaded.introspection(), &loaded.file.limits);
     let basic = introspection::client_basic(&settings.client_id, loaded.client_secret.expose_text()?);
     let form = introspection::form(token);
@@ -70,15 +70,15 @@
     answer: &introspection::Answer,
     settings: &frostgauge_settings::Introspection,
     now: Micros,
-) -> Answer {
+) -> Verdict {
     let micros = |seconds: f64| (seconds.max(0.0) * 1e6) as Micros;
     let ours = settings.audience.as_ref().is_none_or(|a| answer.aud.is_empty() || answer.aud.contains(a));
     let begun = answer.nbf.is_none_or(|nbf| micros(nbf) <= now);
     match answer.member(&settings.customer).filter(|_| answer.active && ours && begun) {
-        Some(subject) => Answer::Good {
+        Some(subject) => Verdict::Valid {
             grant: Grant { subject: subject.to_owned(), scopes: answer.scopes.clone() },
             exp: answer.exp.map(micros),
         },
-        None => Answer::Bad,
+        None => Verdict::Invalid,
     }
 }
--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -16,7 +16,7 @@
 use async_executor::{Executor, Task};
 use frostgauge::{CounterId, ServerId, Status};
 use frostgauge_counter_service::client::{CallResult, Client};
-use frostgauge_identity::{Answer, TokenName};
+use frostgauge_identity::{TokenHash, Verdict};
 use frostgauge_net::Pool;
 use frostgauge_proto::bearer::Token;
 use frostgauge_proto::http::Limits;
@@ -64,7 +64,7 @@
         /// Number of the request.
         flight: u64,
         /// Its answer; `None` if there is no verdict.
-        answer: Option<Answer>,
+        answer: Option<Verdict>,
     },
     /// A health check of a server ended.
     Checked {
@@ -127,7 +127,7 @@
     agreed: Option<FleetRules>,
     /// Connections to servers under the fleet's budgets, in place of the pool's.
     held: Option<Arc<BudgetedPool>>,
-    tokens: BTreeMap<TokenName, Token>,
+    tokens: BTreeMap<TokenHash, Token>,
     key: [u8; 32],
     started: Micros,
     swept: Micros,
@@ -291,7 +291,7 @@
         let identity = context.core.identity();
         context.answer_stats.publish();
         self.publish_zones(now, context.core);
-        self.tokens.retain(|name, _| identity.waits_for(name));
+        self.tokens.retain(|name, _| identity.is_pending(name));
         let (waiting, flights, verdicts) = identity.sizes();
         for (what, value) in [
             ("open", context.core.open_calls()),
--- a/crates/gateway/src/oauth/status.rs
+++ b/crates/gateway/src/oauth/status.rs
@@ -71,7 +71,7 @@
             "reasons": context.answer_stats.reasons(),
             "latency_ms": context.answer_stats.latencies(),
             "tokens": {
-                "server": identity.state(now), "waiting": waiting, "flights": flights, "verdicts": verdicts,
+                "server": identity.breaker_state(now), "waiting": waiting, "flights": flights, "verdicts": verdicts,
                 "asked": tally.asked, "failed": tally.failed, "hits": tally.hits, "stale": tally.stale,
                 "unavailable": tally.unavailable,
             },
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use frostgauge::{ServerId, Status};
 use frostgauge_gateway::core::{CallMetadata, Command, Core, Input};
 use frostgauge_gateway::reply::GatewayAnswer;
-use frostgauge_identity::{Answer, Grant};
+use frostgauge_identity::{Grant, Verdict};
 use frostgauge_settings::{load, Loaded, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::os::unix::fs::PermissionsExt;
@@ -180,11 +180,11 @@
             .0;
         self.introspections.remove(&flight);
         let answer = match subject {
-            Some(name) => Answer::Good {
+            Some(name) => Verdict::Valid {
                 grant: Grant { subject: name.into(), scopes: vec!["claims".into()] },
                 exp: None,
             },
-            None => Answer::Bad,
+            None => Verdict::Invalid,
         };
         self.input(Input::Introspected { flight, answer: Some(answer) });
     }
--- a/crates/identity/src/breaker.rs
+++ b/crates/identity/src/breaker.rs
@@ -20,17 +20,17 @@
 
 impl Breaker {
     /// Whether a question may be asked now.
-    pub fn lets_in(&self, now: Micros) -> bool {
+    pub fn allows_request(&self, now: Micros) -> bool {
         self.openings == 0 || now >= self.until && !self.trial
     }
 
     /// How long until a trial.
-    pub fn wait(&self, now: Micros) -> Micros {
+    pub fn time_until_trial(&self, now: Micros) -> Micros {
         self.until.saturating_sub(now)
     }
 
     /// A question goes out.
-    pub fn asked(&mut self, now: Micros) {
+    pub fn request_sent(&mut self, now: Micros) {
         self.trial = self.openings > 0 && now >= self.until;
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Its state in one word.
-    pub fn word(&self, now: Micros) -> &'static str {
+    pub fn state_name(&self, now: Micros) -> &'static str {
         match (self.openings, now >= self.until) {
             (0, _) => "closed",
             (_, false) => "open",
--- a/crates/identity/src/cache.rs
+++ b/crates/identity/src/cache.rs
@@ -1,6 +1,6 @@
 //! Verdicts, by the token's name. Bounded; the one that may serve least long goes first.
 
-use crate::{Answer, Config, Grant, Micros, TokenName};
+use crate::{Config, Grant, Micros, TokenHash, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -25,8 +25,8 @@
 
 #[derive(Debug)]
 pub(crate) struct Cache {
-    entries: BTreeMap<TokenName, Entry>,
-    oldest: BTreeSet<(Micros, TokenName)>,
+    entries: BTreeMap<TokenHash, Entry>,
+    oldest: BTreeSet<(Micros, TokenHash)>,
     most: usize,
 }
 
@@ -39,7 +39,7 @@
         self.entries.len()
     }
 
-    pub fn get(&self, now: Micros, token: &TokenName, config: &Config) -> Known {
+    pub fn get(&self, now: Micros, token: &TokenHash, config: &Config) -> Known {
         let Some(entry) = self.entries.get(token) else { return Known::Nothing };
         let age = now.saturating_sub(entry.asked);
         match &entry.verdict {
@@ -53,10 +53,10 @@
     }
 
     /// Keeps a verdict asked for at `asked`. True if it turned a good token bad.
-    pub fn put(&mut self, asked: Micros, token: TokenName, answer: Answer) -> bool {
+    pub fn put(&mut self, asked: Micros, token: TokenHash, answer: Verdict) -> bool {
         let verdict = match answer {
-            Answer::Good { grant, exp } => Some((Arc::new(grant), exp.unwrap_or(Micros::MAX))),
-            Answer::Bad => None,
+            Verdict::Valid { grant, exp } => Some((Arc::new(grant), exp.unwrap_or(Micros::MAX))),
+            Verdict::Invalid => None,
         };
         let before = self.entries.remove(&token);
         if let Some(before) = &before {
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -2,11 +2,11 @@
 //! how many questions are out, and what is said while it does not answer.
 //!
 //! The host hands in what happens with the time, and carries out the [`Step`]s that come back. Tokens are
-//! known here by [`TokenName`] alone, a keyed hash that the host makes.
+//! known here by [`TokenHash`] alone, a keyed hash that the host makes.
 //!
 //! The rules, each with the setting that bounds it:
 //! - A request enters only on a verdict. Without one it is answered [`Outcome::Unavailable`], always
-//!   before a stated part of the client's patience has gone ([`WAIT_PART`]).
+//!   before a stated part of the client's patience has gone ([`MAX_WAIT_FRACTION`]).
 //! - A good verdict serves without a question while it is younger than [`Config::fresh`], counted from the
 //!   moment the question was *sent*; never past the token's own `exp`.
 //! - While the server does not answer, it serves until [`Config::stale`]. A revocation is therefore heeded
@@ -29,10 +29,10 @@
 pub type Micros = u64;
 
 /// A token's name: a keyed hash of it.
-pub type TokenName = [u8; 16];
+pub type TokenHash = [u8; 16];
 
 /// Most of a client's patience that may go by before its token is judged: the other half is the node's.
-pub const WAIT_PART: f64 = 0.5;
+pub const MAX_WAIT_FRACTION: f64 = 0.5;
 /// Questions repeated per question asked; most saved up. A failing server is asked little more than a
 /// healthy one.
 const RETRIES: (f64, f64) = (0.1, 5.0);
@@ -70,16 +70,16 @@
 
 /// The server's answer to a question, already read.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum Verdict {
     /// Good, until `exp` if the token names one.
-    Good {
+    Valid {
         /// What it allows.
         grant: Grant,
         /// The time from which it is no longer good.
         exp: Option<Micros>,
     },
     /// Inactive, for another audience, not yet valid, or without the member that names the customer.
-    Bad,
+    Invalid,
 }
 
 /// What a waiting request is told.
@@ -99,12 +99,12 @@
 /// Something for the host to do, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask the server about a token, and call [`Identity::answered`] exactly once.
-    Ask {
+    /// Ask the server about a token, and call [`Identity::introspected`] exactly once.
+    Introspect {
         /// The question's number.
         flight: u64,
         /// The token.
-        token: TokenName,
+        token: TokenHash,
         /// How long to wait.
         timeout: Micros,
     },
@@ -118,7 +118,7 @@
     /// A token that was good is no more: requests that entered with it and are not yet sent must not be.
     Revoked {
         /// The token.
-        token: TokenName,
+        token: TokenHash,
     },
 }
 
@@ -150,10 +150,10 @@
     config: Config,
     cache: Cache,
     breaker: Breaker,
-    pending: BTreeMap<TokenName, Pending>,
-    flights: BTreeMap<u64, (TokenName, Micros)>,
-    queue: VecDeque<TokenName>,
-    waiting: BTreeMap<u64, TokenName>,
+    pending: BTreeMap<TokenHash, Pending>,
+    flights: BTreeMap<u64, (TokenHash, Micros)>,
+    queue: VecDeque<TokenHash>,
+    waiting: BTreeMap<u64, TokenHash>,
     deadlines: BTreeSet<(Micros, u64)>,
     next_flight: u64,
     limit: f64,
@@ -194,8 +194,8 @@
     }
 
     /// The breaker's state in one word.
-    pub fn state(&self, now: Micros) -> &'static str {
-        self.breaker.word(now)
+    pub fn breaker_state(&self, now: Micros) -> &'static str {
+        self.breaker.state_name(now)
     }
 
     /// Requests waiting, questions out, verdicts kept.
@@ -204,7 +204,7 @@
     }
 
     /// Whether a question about this token is out or queued.
-    pub fn waits_for(&self, token: &TokenName) -> bool {
+    pub fn is_pending(&self, token: &TokenHash) -> bool {
         self.pending.contains_key(token)
     }
 
@@ -214,11 +214,11 @@
     }
 
     /// A request asks to enter; its client waits `patience` from now on. `waiter` is never used twice.
-    pub fn enter(
+    pub fn check(
         &mut self,
         now: Micros,
         waiter: u64,
-        token: TokenName,
+        token: TokenHash,
         patience: Micros,
         out: &mut Vec<Step>,
     ) {
@@ -232,10 +232,10 @@
         }
         let joins = self.pending.contains_key(&token);
         let full = self.waiting.len() >= self.config.waiters;
-        if full || !joins && !self.breaker.lets_in(now) {
+        if full || !joins && !self.breaker.allows_request(now) {
             return self.settle(now, waiter, &token, out);
         }
-        let deadline = now + (patience as f64 * WAIT_PART) as Micros;
+        let deadline = now + (patience as f64 * MAX_WAIT_FRACTION) as Micros;
         self.waiting.insert(waiter, token);
         self.deadlines.insert((deadline, waiter));
         let pending = self.pending.entry(token).or_default();
@@ -247,7 +247,7 @@
     }
 
     /// A client left: nothing more is said to it.
-    pub fn left(&mut self, waiter: u64) {
+    pub fn client_left(&mut self, waiter: u64) {
         let Some(token) = self.waiting.remove(&waiter) else { return };
         if let Some(pending) = self.pending.get_mut(&token) {
             if let Some(deadline) = pending.waiters.remove(&waiter) {
@@ -257,7 +257,7 @@
     }
 
     /// The answer to a question, or `None` if there was none that can be read within its time.
-    pub fn answered(&mut self, now: Micros, flight: u64, answer: Option<Answer>, out: &mut Vec<Step>) {
+    pub fn introspected(&mut self, now: Micros, flight: u64, answer: Option<Verdict>, out: &mut Vec<Step>) {
         let Some((token, sent)) = self.flights.remove(&flight) else { return };
         if let Some(pending) = self.pending.get_mut(&token) {
             pending.flight = None;
@@ -281,7 +281,7 @@
                     let soon = p.waiters.values().any(|d| *d > now + self.config.timeout / 2);
                     soon && !std::mem::replace(&mut p.repeated, true)
                 });
-                if again && !tripped && self.breaker.lets_in(now) && self.retries >= 1.0 {
+                if again && !tripped && self.breaker.allows_request(now) && self.retries >= 1.0 {
                     self.retries -= 1.0;
                     self.queue.push_front(token);
                 } else {
@@ -312,7 +312,7 @@
     }
 
     /// Tells everyone who waits for a token what the cache now says of it.
-    fn release(&mut self, now: Micros, token: &TokenName, out: &mut Vec<Step>) {
+    fn release(&mut self, now: Micros, token: &TokenHash, out: &mut Vec<Step>) {
         for (waiter, deadline) in self.pending.remove(token).map(|p| p.waiters).unwrap_or_default() {
             self.deadlines.remove(&(deadline, waiter));
             self.waiting.remove(&waiter);
@@ -321,7 +321,7 @@
     }
 
     /// What a request is told without another question.
-    fn settle(&mut self, now: Micros, waiter: u64, token: &TokenName, out: &mut Vec<Step>) {
+    fn settle(&mut self, now: Micros, waiter: u64, token: &TokenHash, out: &mut Vec<Step>) {
         let outcome = match self.cache.get(now, token, &self.config) {
             Known::Denied => Outcome::Denied,
             Known::Fresh(grant) => Outcome::Granted(grant),
@@ -332,7 +332,7 @@
             Known::Nothing => {
                 self.tally.unavailable += 1;
                 // Spread, so that the clients of an outage do not return as one.
-                let wait = self.breaker.wait(now).max(self.config.timeout) as f64;
+                let wait = self.breaker.time_until_trial(now).max(self.config.timeout) as f64;
                 Outcome::Unavailable { retry_after: (wait * (1.0 + self.rng.random::<f64>())) as Micros }
             }
         };
@@ -341,7 +341,7 @@
 
     /// Sends questions as far as the limit and the breaker let it.
     fn pump(&mut self, now: Micros, out: &mut Vec<Step>) {
-        while (self.flights.len() as f64) < self.limit && self.breaker.lets_in(now) {
+        while (self.flights.len() as f64) < self.limit && self.breaker.allows_request(now) {
             let Some(token) = self.queue.pop_front() else { return };
             // Nobody waits for it any more: a question would be for nothing.
             if self.pending.get(&token).is_none_or(|p| p.waiters.is_empty()) {
@@ -354,10 +354,10 @@
                 pending.flight = Some(flight);
             }
             self.flights.insert(flight, (token, now));
-            self.breaker.asked(now);
+            self.breaker.request_sent(now);
             self.tally.asked += 1;
             self.retries = (self.retries + RETRIES.0).min(RETRIES.1);
-            out.push(Step::Ask { flight, token, timeout: self.config.timeout });
+            out.push(Step::Introspect { flight, token, timeout: self.config.timeout });
         }
     }
 }
--- a/crates/identity/tests/identity.rs
+++ b/crates/identity/tests/identity.rs
@@ -19,11 +19,11 @@
     }
 }
 
-fn good(name: &str) -> Option<Answer> {
-    Some(Answer::Good { grant: Grant { subject: name.into(), scopes: vec![] }, exp: None })
+fn good(name: &str) -> Option<Verdict> {
+    Some(Verdict::Valid { grant: Grant { subject: name.into(), scopes: vec![] }, exp: None })
 }
 
-fn token(k: u32) -> TokenName {
+fn token(k: u32) -> TokenHash {
     let mut name = [0; 16];
     name[..4].copy_from_slice(&k.to_be_bytes());
     name
@@ -40,21 +40,21 @@
     fn new() -> Host {
         Host { identity: Identity::new(config(), 1), now: 1000 * S, out: vec![], next: 0 }
     }
-    fn enter(&mut self, token: TokenName) -> u64 {
+    fn enter(&mut self, token: TokenHash) -> u64 {
         self.next += 1;
-        self.identity.enter(self.now, self.next, token, 2 * S, &mut self.out);
+        self.identity.check(self.now, self.next, token, 2 * S, &mut self.out);
         self.next
     }
-    fn answer(&mut self, flight: u64, answer: Option<Answer>) {
-        self.identity.answered(self.now, flight, answer, &mut self.out);
+    fn answer(&mut self, flight: u64, answer: Option<Verdict>) {
+        self.identity.introspected(self.now, flight, answer, &mut self.out);
     }
     fn asks(&mut self) -> Vec<u64> {
         let flights = self.out.iter().filter_map(|s| match s {
-            Step::Ask { flight, .. } => Some(*flight),
+            Step::Introspect { flight, .. } => Some(*flight),
             _ => None,
         });
         let flights = flights.collect();
-        self.out.retain(|s| !matches!(s, Step::Ask { .. }));
+        self.out.retain(|s| !matches!(s, Step::Introspect { .. }));
         flights
     }
     fn outcome(&mut self, waiter: u64) -> Option<Outcome> {
@@ -69,7 +69,7 @@
         matches!(self.outcome(waiter), Some(Outcome::Granted(_)))
     }
     /// Makes a token known.
-    fn know(&mut self, token: TokenName) {
+    fn know(&mut self, token: TokenHash) {
         let waiter = self.enter(token);
         let flight = self.asks()[0];
         self.answer(flight, good("a"));
@@ -78,7 +78,7 @@
     /// Lets questions fail until the breaker is open.
     fn trip(&mut self) {
         for k in 0..20 {
-            if self.identity.state(self.now) != "closed" {
+            if self.identity.breaker_state(self.now) != "closed" {
                 return;
             }
             self.enter(token(9000 + k));
@@ -86,7 +86,7 @@
                 self.answer(flight, None);
             }
         }
-        assert_eq!(self.identity.state(self.now), "open");
+        assert_eq!(self.identity.breaker_state(self.now), "open");
     }
 }
 
@@ -147,7 +147,7 @@
     host.now += 2 * S + 1;
     let waiter = host.enter(token(1));
     let flight = host.asks()[0];
-    host.answer(flight, Some(Answer::Bad));
+    host.answer(flight, Some(Verdict::Invalid));
     assert_eq!(host.outcome(waiter), Some(Outcome::Denied));
     assert_eq!(host.out, [Step::Revoked { token: token(1) }]);
     let waiter = host.enter(token(1));
@@ -162,7 +162,7 @@
     let mut host = Host::new();
     host.enter(token(1));
     let exp = Some(host.now + S);
-    host.answer(1, Some(Answer::Good { grant: Grant::default(), exp }));
+    host.answer(1, Some(Verdict::Valid { grant: Grant::default(), exp }));
     host.out.clear();
     host.now += S;
     let waiter = host.enter(token(1));
@@ -220,7 +220,7 @@
     let waiters: Vec<u64> = (0..10).map(|k| host.enter(token(k))).collect();
     let out = host.asks();
     for waiter in &waiters[out.len()..] {
-        host.identity.left(*waiter);
+        host.identity.client_left(*waiter);
     }
     for flight in out {
         host.answer(flight, good("a"));
@@ -263,8 +263,8 @@
     ], 1..300)) {
         let mut host = Host::new();
         let mut open: BTreeMap<u64, (u32, Micros)> = BTreeMap::new();
-        let mut flights: Vec<(u64, TokenName, Micros)> = vec![];
-        let mut confirmed: BTreeMap<TokenName, Micros> = BTreeMap::new();
+        let mut flights: Vec<(u64, TokenHash, Micros)> = vec![];
+        let mut confirmed: BTreeMap<TokenHash, Micros> = BTreeMap::new();
         for step in steps {
             let mut told: Vec<(Micros, Step)> = vec![];
             match step {
@@ -272,11 +272,11 @@
                 Do::Answer(k, a) if !flights.is_empty() => {
                     let (flight, name, sent) = flights.remove(k % flights.len());
                     if a < 2 { confirmed.insert(name, sent); }
-                    host.answer(flight, match a { 0 | 1 => good("a"), 2 => Some(Answer::Bad), _ => None });
+                    host.answer(flight, match a { 0 | 1 => good("a"), 2 => Some(Verdict::Invalid), _ => None });
                 }
                 Do::Leave(k) if !open.is_empty() => {
                     let w = *open.keys().nth(k % open.len()).expect("some");
-                    host.identity.left(w);
+                    host.identity.client_left(w);
                     open.remove(&w);
                 }
                 Do::Pass(span) => {
@@ -293,7 +293,7 @@
             told.extend(host.out.drain(..).map(|s| (host.now, s)));
             for (at, step) in told {
                 match step {
-                    Step::Ask { flight, token, .. } => {
+                    Step::Introspect { flight, token, .. } => {
                         prop_assert!(flights.iter().all(|f| f.1 != token), "two flights for a token");
                         flights.push((flight, token, at));
                     }
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 use frostgauge::{ServerEntry, ServerId, ServerState, Status};
 use frostgauge_gateway::core::{Command, Core, Input};
-use frostgauge_identity::{Answer, Grant};
+use frostgauge_identity::{Grant, Verdict};
 use frostgauge_settings::Loaded;
 use frostgauge_zones::Phase;
 use rand::{RngExt, SeedableRng};
@@ -294,7 +294,7 @@
             match command {
                 Command::Introspect { flight, token, .. } => {
                     let grant = Grant { subject: format!("ins-{}", token[0]), scopes: vec![] };
-                    let answer = Some(Answer::Good { grant, exp: None });
+                    let answer = Some(Verdict::Valid { grant, exp: None });
                     self.at(
                         self.now + 2 * MS,
                         Event::Input(k, incarnation, Input::Introspected { flight, answer }),
