--- a/crates/gateway/src/oauth/mod.rs
+++ b/crates/gateway/src/oauth/mod.rs
@@ -16,7 +16,7 @@
 use async_executor::{Executor, Task};
 use frostgauge::{CounterId, ServerId, Status};
 use frostgauge_counter_service::client::{CallResult, Client};
-use frostgauge_identity::{Answer, TokenName};
+use frostgauge_identity::{TokenHash, Verdict};
 use frostgauge_net::Pool;
 use frostgauge_proto::bearer::Token;
 use frostgauge_proto::http::Limits;
@@ -64,7 +64,7 @@
         /// Number of the request.
         flight: u64,
         /// Its answer; `None` if there is no verdict.
-        answer: Option<Answer>,
+        answer: Option<Verdict>,
     },
     /// A health check of a server ended.
     Checked {
@@ -129,7 +129,7 @@
     /// Connections to servers under the fleet's budgets; used in place of `pool` where there are fleet rules.
     budgeted_pool: Option<Arc<BudgetedPool>>,
     /// Tokens by name; those without a pending introspection are dropped at each sweep.
-    tokens: BTreeMap<TokenName, Token>,
+    tokens: BTreeMap<TokenHash, Token>,
     /// Random key from which the names of tokens are derived.
     token_name_key: [u8; 32],
     /// Start time; part of the request numbers, to distinguish this process from earlier ones.
@@ -297,7 +297,7 @@
         let identity = context.core.identity();
         context.answer_stats.publish();
         self.publish_zones(now, context.core);
-        self.tokens.retain(|name, _| identity.waits_for(name));
+        self.tokens.retain(|name, _| identity.is_pending(name));
         let (waiting, flights, verdicts) = identity.sizes();
         for (what, value) in [
             ("open", context.core.open_calls()),
--- a/crates/platform-gateway/src/host.rs
+++ b/crates/platform-gateway/src/host.rs
@@ -101,7 +101,11 @@
     let shares = Shares::divide(config.limits.sockets, config.limits.memory_mb);
     let max_in_flight = if site.max_in_flight > 0 { site.max_in_flight } else { DEFAULT_MAX_IN_FLIGHT };
     let core = Core::without_tokens(site.settings.clone(), max_in_flight, config.seed, now)?;
-    let times = timeouts::ConnectionTimeouts::from_settings(site.connect_timeout, site.idle_timeout, site.drain_grace);
+    let times = timeouts::ConnectionTimeouts::from_settings(
+        site.connect_timeout,
+        site.idle_timeout,
+        site.drain_grace,
+    );
     let front = Front {
         site: site.clone(),
         permits: ConnectionPermits::new(shares.client_connections, shares.idle_client_connections),
