--- a/crates/frostgauged/tests/agreed.rs
+++ b/crates/frostgauged/tests/agreed.rs
@@ -132,7 +132,7 @@
     refused_with("lease", json!(1), "unknown field `lease`");
     let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = held.local_addr().expect("bound").to_string();
-    refused_with("listen", json!(taken), &format!("accord.links {taken}: "));
+    refused_with("listen", json!(taken), &format!("accord.links: cannot listen on {taken}: "));
 
     assert_eq!(run(&folder, &settings, Some(&rules)).status.code(), Some(0));
     let keeper = folder.join("accord/keeper");
@@ -141,5 +141,5 @@
     let mut bytes = std::fs::read(&journal).expect("read");
     bytes[3] ^= 1;
     std::fs::write(&journal, bytes).expect("written");
-    refused(&folder, &settings, None, "at byte 0: is of another format, or damaged");
+    refused(&folder, &settings, None, "at byte 0: the file is not a journal of this format, or is damaged");
 }
